--- a/cmd/addresses.go
+++ b/cmd/addresses.go
@@ -36,7 +36,7 @@
 	if err := json.Unmarshal(text, &answer); err != nil {
 		return errors.Wrapf(err, "answer of instance %s", addressesCommand.Instance)
 	}
-	fmt.Fprintf(out, "service %s, settings revision %d, keep for %s\n", answer.Service, answer.Revision, answer.Keep)
+	fmt.Fprintf(out, "service %s, settings revision %d, keep for %s\n", answer.Service, answer.Revision, answer.TTL)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, entry := range answer.Addresses {
 		fmt.Fprintf(table, "%s\t%s\t%s\n", entry.Address, entry.Instance, entry.DataCentre)
--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -21,8 +21,8 @@
 type Addresses struct {
 	Service   settings.ServiceName `json:"service"`
 	Addresses []Address            `json:"addresses"`
-	// Keep is how long the answer may be used.
-	Keep clock.Milliseconds `json:"keep"`
+	// TTL is how long the addresses may be cached.
+	TTL clock.Milliseconds `json:"keep"`
 	// Revision is the site's settings that the answer comes from.
 	Revision settings.Revision `json:"revision"`
 }
@@ -50,7 +50,7 @@
 		handler.refuseAddresses(writer, http.StatusNotFound, "no service "+strconv.Quote(string(name)))
 		return
 	}
-	answer := Addresses{Service: name, Keep: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
+	answer := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
 	for _, instance := range found.Serving {
 		answer.Addresses = append(answer.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
 	}
--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -108,7 +108,7 @@
 	response := exchange.Response
 	removeHopByHop(response.Header)
 	dialect := call.handler.options.Dialect
-	removeOwn(response.Header, dialect.Own)
+	removeOwn(response.Header, dialect.IsReservedHeader)
 	header := call.writer.Header()
 	for name, values := range response.Header {
 		header[name] = values
@@ -117,7 +117,7 @@
 	for name := range response.Trailer {
 		header.Add("Trailer", name)
 	}
-	if dialect.Explains {
+	if dialect.DiagnosticHeaders {
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
 	}
 	if _, given := header["Date"]; !given {
@@ -195,7 +195,7 @@
 
 func (call *call) copyTrailers(response *http.Response) {
 	for name, values := range response.Trailer {
-		if !call.handler.options.Dialect.Own(name) {
+		if !call.handler.options.Dialect.IsReservedHeader(name) {
 			call.writer.Header()[http.TrailerPrefix+name] = values
 		}
 	}
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -111,16 +111,16 @@
 	attempt.story.Reused = attempt.exchange.Reused
 	attempt.story.Status = response.StatusCode
 	attempt.story.Result = trace.ResultAnswered
-	if reading, told := dialect.Load(response.Header); told {
+	if reading, told := dialect.ParseLoad(response.Header); told {
 		reading.At = call.now()
 		attempt.place.Observe(reading)
 	}
-	if attempt.err = dialect.Check(call.id, response); attempt.err != nil {
+	if attempt.err = dialect.CheckResponse(call.id, response); attempt.err != nil {
 		attempt.discard()
 		return
 	}
-	if dialect.BufferMost > 0 {
-		if attempt.err = attempt.readAhead(dialect.BufferMost); attempt.err != nil {
+	if dialect.MaxBufferedResponseBytes > 0 {
+		if attempt.err = attempt.readAhead(dialect.MaxBufferedResponseBytes); attempt.err != nil {
 			attempt.discard()
 			return
 		}
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	limited := http.MaxBytesReader(call.writer, request.Body, most)
-	stream := &callerBody{reader: limited, control: call.control, stallMost: call.handler.options.StallMost}
+	stream := &callerBody{reader: limited, control: call.control, stallMost: call.handler.options.MaxStall}
 	// A caller that waits for "100 Continue" is asked for its body only once a place is there.
 	if request.ContentLength < 0 || request.Header.Get("Expect") != "" || !body.hold(call) {
 		body.stream = stream
@@ -87,7 +87,7 @@
 	if length <= replayBodyMost {
 		return true
 	}
-	if length > call.handler.options.Dialect.ReplayBodyMost {
+	if length > call.handler.options.Dialect.MaxReplayBodyBytes {
 		return false
 	}
 	if call.handler.heldBodies.Add(length) > heldBodiesMost {
@@ -168,7 +168,7 @@
 	if !call.bodyUnread() {
 		return
 	}
-	_ = call.control.SetReadDeadline(time.Now().Add(call.handler.options.StallMost.Duration()))
+	_ = call.control.SetReadDeadline(time.Now().Add(call.handler.options.MaxStall.Duration()))
 }
 
 // callerBody reads a body from the caller and gives each read its time, so that a caller which sends a byte a minute
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -38,7 +38,7 @@
 			writer := httptest.NewRecorder()
 			call := &call{
 				request: request, writer: writer, control: http.NewResponseController(writer),
-				handler: NewHandler(Options{StallMost: clock.Minute, Clock: clock.New()}),
+				handler: NewHandler(Options{MaxStall: clock.Minute, Clock: clock.New()}),
 				route:   routing.Route{Class: &routing.Class{Settings: settings.Class{BodyMost: 1 << 20}}},
 			}
 			call.deadline = call.now().Add(clock.Minute)
@@ -57,8 +57,8 @@
 func TestBatchesAreHeldWithinBounds(t *testing.T) {
 	const length = 300 << 10
 	dialect := NewDialect()
-	dialect.ReplayBodyMost = 512 << 10
-	handler := NewHandler(Options{StallMost: clock.Minute, Clock: clock.New(), Dialect: dialect})
+	dialect.MaxReplayBodyBytes = 512 << 10
+	handler := NewHandler(Options{MaxStall: clock.Minute, Clock: clock.New(), Dialect: dialect})
 	upload := func(length int) *call {
 		writer := httptest.NewRecorder()
 		call := &call{
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -202,7 +202,7 @@
 
 func (call *call) setOwnHeaders(header http.Header, result outcome.Outcome, reason outcome.Reason) {
 	dialect := call.handler.options.Dialect
-	if dialect.Explains {
+	if dialect.DiagnosticHeaders {
 		header.Set(outcome.HeaderOutcome, string(result))
 		header.Set(outcome.HeaderReason, string(reason))
 	}
@@ -216,7 +216,7 @@
 // backend server for as long as it likes.
 func (call *call) armWrite() {
 	// Writers that know no deadline, as in tests, are left without one.
-	_ = call.control.SetWriteDeadline(time.Now().Add(call.handler.options.StallMost.Duration()))
+	_ = call.control.SetWriteDeadline(time.Now().Add(call.handler.options.MaxStall.Duration()))
 }
 
 // disarmWrite ends the time that armWrite has given.
@@ -256,7 +256,7 @@
 // tell keeps the request's story and hands it to whoever writes it down.
 func (call *call) tell(story *trace.Request) {
 	call.handler.options.Traces.Add(*story)
-	if decided := call.handler.options.Decided; decided != nil {
+	if decided := call.handler.options.OnRequestDone; decided != nil {
 		decided(story)
 	}
 }
--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -11,55 +11,58 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Dialect is how callers, instances and backend servers write on HTTP what they tell each other. The zero value can't be
-// used; NewDialect returns jaywheel's own.
+// Dialect defines the HTTP headers and reserved paths that callers, instances and backend servers use among themselves.
+// The zero value is not usable; NewDialect returns jaywheel's own dialect.
 type Dialect struct {
-	// RequestIDHeader carries the request's id, both ways.
+	// RequestIDHeader carries the request ID in requests and responses.
 	RequestIDHeader string
-	// TimeoutHeader carries the time that is left, in whole milliseconds.
+	// TimeoutHeader carries the remaining time in whole milliseconds.
 	TimeoutHeader string
-	// AttemptHeader counts how often the request was sent before; empty when nobody counts.
+	// AttemptHeader carries the number of earlier attempts to send the request; empty if attempts are not counted.
 	AttemptHeader string
-	// TargetHeader names the target for which a request is meant; empty when targets don't look.
+	// TargetHeader carries the name of the target that the request is addressed to; empty if targets do not check it.
 	TargetHeader string
-	// TeamHeader names the team whose key a request bears, to backend servers alone; empty when requests bear none.
+	// TeamHeader carries the name of the team that owns the request's API key. It is sent to backend servers only; empty if
+	// requests carry no API key.
 	TeamHeader string
-	// Own reports whether only jaywheel sets the header, so that neither side can speak in its name.
-	Own func(name string) bool
-	// Explains says that answers tell how the request ended, and that requests tell through whom they came.
-	Explains bool
-	// RetryAfter writes when a caller may come back.
+	// IsReservedHeader reports whether only jaywheel may set the header. Such headers are removed from callers' requests and
+	// backend servers' responses, so that neither can forge them.
+	IsReservedHeader func(name string) bool
+	// DiagnosticHeaders adds the outcome and its reason to responses, Via to requests and responses, and X-Forwarded-For to
+	// requests.
+	DiagnosticHeaders bool
+	// RetryAfter formats the value of the Retry-After header.
 	RetryAfter func(clock.Milliseconds) string
-	// NotRun reports whether a backend server's answer says that it did not run the request.
+	// NotRun reports whether a backend server's response states that the server did not run the request.
 	NotRun func(*http.Response, *settings.Service) bool
-	// Check finds what shows that an answer does not belong to the request, or is not the backend server's own.
-	Check func(trace.RequestID, *http.Response) error
-	// Load reads what a backend server tells of its load along with an answer.
-	Load func(http.Header) (service.Reading, bool)
-	// BufferMost is the length in bytes up to which an answer is read whole before any of it is passed on, so that one
-	// that breaks off can be fetched again instead. 0 passes every answer on as it arrives.
-	BufferMost int64
-	// ReplayBodyMost is the length in bytes up to which a request's body is read whole before a backend server is chosen, if that is
-	// more than is read in any case.
-	ReplayBodyMost int64
-	// Reserved reports whether a path belongs to jaywheel itself.
-	Reserved func(path string) bool
+	// CheckResponse returns an error if the response does not belong to the request or does not come from the backend server.
+	CheckResponse func(trace.RequestID, *http.Response) error
+	// ParseLoad parses the load that a backend server reports in its response header; false if it reports none.
+	ParseLoad func(http.Header) (service.Reading, bool)
+	// MaxBufferedResponseBytes is the length up to which a response is read completely before any of it is forwarded, so
+	// that the request can be retried if the response is truncated. With 0, every response is forwarded as it arrives.
+	MaxBufferedResponseBytes int64
+	// MaxReplayBodyBytes is the length up to which a request's body is read completely before a backend server is chosen.
+	// Values up to replayBodyMost have no effect: bodies of that length are always read first.
+	MaxReplayBodyBytes int64
+	// IsReservedPath reports whether jaywheel serves the path itself.
+	IsReservedPath func(path string) bool
 }
 
 // NewDialect returns jaywheel's own dialect.
 func NewDialect() *Dialect {
 	return &Dialect{
-		RequestIDHeader: outcome.HeaderRequestID,
-		TimeoutHeader:   outcome.HeaderTimeout,
-		AttemptHeader:   outcome.HeaderAttempt,
-		Own:             outcome.IsOwnHeader,
-		Explains:        true,
-		RetryAfter:      func(length clock.Milliseconds) string { return strconv.Itoa(wholeSeconds(length)) },
+		RequestIDHeader:   outcome.HeaderRequestID,
+		TimeoutHeader:     outcome.HeaderTimeout,
+		AttemptHeader:     outcome.HeaderAttempt,
+		IsReservedHeader:  outcome.IsOwnHeader,
+		DiagnosticHeaders: true,
+		RetryAfter:        func(length clock.Milliseconds) string { return strconv.Itoa(wholeSeconds(length)) },
 		NotRun: func(response *http.Response, serviceSettings *settings.Service) bool {
 			return response.Header.Get(serviceSettings.NotRunHeader) != ""
 		},
-		Check:    func(trace.RequestID, *http.Response) error { return nil },
-		Load:     func(http.Header) (service.Reading, bool) { return service.Reading{}, false },
-		Reserved: func(path string) bool { return path == AddressesPath },
+		CheckResponse:  func(trace.RequestID, *http.Response) error { return nil },
+		ParseLoad:      func(http.Header) (service.Reading, bool) { return service.Reading{}, false },
+		IsReservedPath: func(path string) bool { return path == AddressesPath },
 	}
 }
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -86,7 +86,7 @@
 	})
 	fixture.handler = NewHandler(Options{
 		Table: func() *routing.Table { return fixture.table }, Servers: servers, Registry: fixture.registry, Traces: fixture.traces,
-		Clock: clock, Instance: "entry-1", StallMost: fixtureStall,
+		Clock: clock, Instance: "entry-1", MaxStall: fixtureStall,
 	})
 	t.Cleanup(servers.Close)
 	return fixture
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -67,7 +67,7 @@
 // worthRetry reports whether an answer tells of a failure that another backend server may not have. Answers are only
 // held back for that where they are read ahead.
 func (call *call) worthRetry(attempt *attempt) bool {
-	return call.route.Class.Settings.Idempotent && call.handler.options.Dialect.BufferMost > 0 &&
+	return call.route.Class.Settings.Idempotent && call.handler.options.Dialect.MaxBufferedResponseBytes > 0 &&
 		attempt.exchange.Response.StatusCode >= http.StatusInternalServerError
 }
 
@@ -207,7 +207,7 @@
 		failure.status = http.StatusServiceUnavailable
 		failure.reason = outcome.ReasonConnect
 		failure.retryAfter = clock.Second
-		if call.handler.options.Dialect.BufferMost > 0 {
+		if call.handler.options.Dialect.MaxBufferedResponseBytes > 0 {
 			failure.retryAfter = call.route.Service.Settings.Queue.RetryAfter
 		}
 	}
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -27,8 +27,8 @@
 	AwaitTable func(context.Context) *routing.Table
 	// Quota holds teams to their rate limits; it may be nil.
 	Quota *quota.Ledger
-	// Keys tells what the API keys of the table in force are worth; nil means that they are current.
-	Keys func() team.KeyStanding
+	// KeyFreshness returns how current the API keys of the active table are; nil means that they are current.
+	KeyFreshness func() team.KeyStanding
 	// Servers are the connections to backend servers.
 	Servers *backendserver.Servers
 	// Registry counts what belongs to no class.
@@ -39,12 +39,12 @@
 	Clock *clock.Clock
 	// Instance is this instance's name; it is written into Via.
 	Instance settings.InstanceName
-	// StallMost is the longest pause within a body.
-	StallMost clock.Milliseconds
+	// MaxStall bounds each read of a request's body and each write of a response.
+	MaxStall clock.Milliseconds
 	// Dialect is how HTTP is spoken; nil means jaywheel's own.
 	Dialect *Dialect
-	// Decided takes the story of each request as it ends; it must not block. It may be nil.
-	Decided func(*trace.Request)
+	// OnRequestDone is called with the trace of each completed request. It must not block. It may be nil.
+	OnRequestDone func(*trace.Request)
 }
 
 // Handler takes callers' requests.
@@ -92,7 +92,7 @@
 		guarded.begin(request)
 		defer guarded.finish()
 	}
-	if handler.options.Dialect.Reserved(request.URL.Path) {
+	if handler.options.Dialect.IsReservedPath(request.URL.Path) {
 		handler.serveAddresses(writer, request)
 		return
 	}
--- a/internal/caller/headers.go
+++ b/internal/caller/headers.go
@@ -39,7 +39,7 @@
 	header := incoming.Header.Clone()
 	wantsTrailers := httpguts.HeaderValuesContainsToken(header["Te"], "trailers")
 	removeHopByHop(header)
-	removeOwn(header, dialect.Own)
+	removeOwn(header, dialect.IsReservedHeader)
 	call.setTeam(header)
 	if wantsTrailers {
 		header.Set("Te", "trailers")
@@ -56,7 +56,7 @@
 	if dialect.AttemptHeader != "" {
 		header.Set(dialect.AttemptHeader, strconv.Itoa(call.attemptNumber()+len(call.attempts)))
 	}
-	if dialect.Explains {
+	if dialect.DiagnosticHeaders {
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
 		if caller, _, err := net.SplitHostPort(incoming.RemoteAddr); err == nil {
 			header.Add("X-Forwarded-For", caller)
--- a/internal/caller/hints.go
+++ b/internal/caller/hints.go
@@ -40,7 +40,7 @@
 	passed := http.Header(received)
 	removeHopByHop(passed)
 	header := hints.call.writer.Header()
-	own := hints.call.handler.options.Dialect.Own
+	own := hints.call.handler.options.Dialect.IsReservedHeader
 	maps.DeleteFunc(passed, func(name string, _ []string) bool { return own(name) })
 	maps.Copy(header, passed)
 	hints.call.writer.WriteHeader(status)
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -93,10 +93,10 @@
 }
 
 func (call *call) keyStanding() team.KeyStanding {
-	if call.handler.options.Keys == nil {
+	if call.handler.options.KeyFreshness == nil {
 		return team.KeysCurrent
 	}
-	return call.handler.options.Keys()
+	return call.handler.options.KeyFreshness()
 }
 
 // takeQuota counts the request against its team's rate limit.
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -56,8 +56,8 @@
 	}, nil
 }
 
-// ListenWith returns a function that listens for callers, as a part of a supervisor's tree takes it.
-func ListenWith(limits settings.Callers, events *expvar.Map) func(address string) (httppart.Listener, error) {
+// NewListenFunc returns a function that listens for callers, in the form that a supervised HTTP server takes.
+func NewListenFunc(limits settings.Callers, events *expvar.Map) func(address string) (httppart.Listener, error) {
 	return func(address string) (httppart.Listener, error) {
 		listener, err := Listen(address, limits, events)
 		if err != nil {
--- a/internal/caller/refusal_test.go
+++ b/internal/caller/refusal_test.go
@@ -313,7 +313,7 @@
 	var got Addresses
 	require.NoError(t, json.NewDecoder(response.Body).Decode(&got))
 	require.Equal(t, Addresses{
-		Service: "booking", Keep: 5000, Revision: 7,
+		Service: "booking", TTL: 5000, Revision: 7,
 		Addresses: []Address{{Instance: "entry-1", Address: "127.0.0.1:1", DataCentre: "sofia-1"}},
 	}, got)
 	for path, status := range map[string]int{"?service=none": 404, "": 404} {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,12 +123,12 @@
 	traces := trace.NewRing(storiesKept)
 	entry.handler = caller.NewHandler(caller.Options{
 		Table: entry.controller.Table, Servers: entry.servers, Registry: entry.registry, Traces: traces, Clock: entry.clock,
-		Instance: process.Instance, StallMost: process.Callers.StallMost,
+		Instance: process.Instance, MaxStall: process.Callers.StallMost,
 	})
 	operators := operator.NewHandler(operator.Options{Status: entry.operatorStatus, Registry: entry.registry, Traces: traces})
 	var err error
 	entry.callers, err = httppart.New(caller.NewServer(entry.handler, process.Callers, &entry.registry.Events), process.CallerAddress,
-		caller.ListenWith(process.Callers, &entry.registry.Events))
+		caller.NewListenFunc(process.Callers, &entry.registry.Events))
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -166,9 +166,9 @@
 	}
 	gateway.handler = caller.NewHandler(caller.Options{
 		Table: gateway.controller.Table, AwaitTable: gateway.controller.AwaitTable, Servers: gateway.servers, Registry: gateway.registry, Traces: gateway.traces,
-		Quota: gateway.quota, Keys: gateway.controller.Keys,
-		Clock: gateway.clock, Instance: file.Instance, StallMost: stallMost, Dialect: gateway.options.Platform.Dialect,
-		Decided: newDecisionLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
+		Quota: gateway.quota, KeyFreshness: gateway.controller.Keys,
+		Clock: gateway.clock, Instance: file.Instance, MaxStall: stallMost, Dialect: gateway.options.Platform.Dialect,
+		OnRequestDone: newDecisionLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
 	})
 	events := &gateway.registry.Events
 	wanted := []struct {
@@ -177,7 +177,7 @@
 		server  *http.Server
 		listen  func(string) (httppart.Listener, error)
 	}{
-		{"callers", file.CallerAddress, caller.NewServer(gateway.handler, limits, events), caller.ListenWith(limits, events)},
+		{"callers", file.CallerAddress, caller.NewServer(gateway.handler, limits, events), caller.NewListenFunc(limits, events)},
 		{"directory", file.DirectoryAddress, small(gateway.options.Platform.Directory(gateway.controller.Addresses)), httppart.Listen},
 		{"readiness", file.ReadyAddress, small(gateway.options.Platform.Readiness(gateway.controller.Ready)), httppart.Listen},
 		{"peers", file.PeerAddress, small(http.HandlerFunc(gateway.serveCatalog)), httppart.Listen},
