--- a/internal/caller/queued_test.go
+++ b/internal/caller/accept_queue_test.go
@@ -16,19 +16,19 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.True(t, listener.waitUntilTaken(ctx), "none waits")
+	require.True(t, listener.waitForAcceptQueue(ctx), "none waits")
 	for range 2 {
 		peer, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { peer.Close() })
 	}
-	require.False(t, listener.waitUntilTaken(ctx), "two wait")
-	drained := make(chan error, 1)
-	go func() { drained <- listener.Drain(t.Context()) }()
+	require.False(t, listener.waitForAcceptQueue(ctx), "two wait")
+	drainResult := make(chan error, 1)
+	go func() { drainResult <- listener.Drain(t.Context()) }()
 	for range 2 {
 		connection, err := listener.Accept()
 		require.NoError(t, err)
 		require.NoError(t, connection.Close())
 	}
-	require.NoError(t, <-drained)
+	require.NoError(t, <-drainResult)
 }
--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -28,7 +28,7 @@
 }
 
 // refused is the answer when there are no addresses to give.
-type refused struct {
+type addressesError struct {
 	Error string `json:"error"`
 }
 
@@ -36,38 +36,38 @@
 func (handler *Handler) serveAddresses(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet {
 		writer.Header().Set("Allow", http.MethodGet)
-		handler.refuseAddresses(writer, http.StatusMethodNotAllowed, "only GET is answered here")
+		handler.respondAddressesError(writer, http.StatusMethodNotAllowed, "only GET is answered here")
 		return
 	}
 	table := handler.options.Table()
 	if table == nil {
-		handler.refuseAddresses(writer, http.StatusServiceUnavailable, "no settings yet")
+		handler.respondAddressesError(writer, http.StatusServiceUnavailable, "no settings yet")
 		return
 	}
 	name := settings.ServiceName(request.URL.Query().Get("service"))
-	found, known := table.Service(name)
+	service, known := table.Service(name)
 	if !known {
-		handler.refuseAddresses(writer, http.StatusNotFound, "no service "+strconv.Quote(string(name)))
+		handler.respondAddressesError(writer, http.StatusNotFound, "no service "+strconv.Quote(string(name)))
 		return
 	}
-	answer := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
-	for _, instance := range found.Serving {
-		answer.Addresses = append(answer.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
+	addresses := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
+	for _, instance := range service.Serving {
+		addresses.Addresses = append(addresses.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
 	}
-	if len(answer.Addresses) == 0 {
-		handler.refuseAddresses(writer, http.StatusServiceUnavailable, "no instance serves "+strconv.Quote(string(name)))
+	if len(addresses.Addresses) == 0 {
+		handler.respondAddressesError(writer, http.StatusServiceUnavailable, "no instance serves "+strconv.Quote(string(name)))
 		return
 	}
-	writeJSON(writer, http.StatusOK, answer)
+	writeJSON(writer, http.StatusOK, addresses)
 }
 
-func (handler *Handler) refuseAddresses(writer http.ResponseWriter, status int, text string) {
+func (handler *Handler) respondAddressesError(writer http.ResponseWriter, status int, text string) {
 	handler.options.Registry.Events.Add("refused.addresses", 1)
 	writer.Header().Set(outcome.HeaderOutcome, string(outcome.NotRun))
 	if status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", "1")
 	}
-	writeJSON(writer, status, refused{Error: text})
+	writeJSON(writer, status, addressesError{Error: text})
 }
 
 func writeJSON(writer http.ResponseWriter, status int, value any) {
--- a/internal/caller/once_test.go
+++ b/internal/caller/at_most_once_test.go
@@ -35,7 +35,7 @@
 	faultCloseBetween = "answered, then closed"
 )
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
+const fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
 
 // faultyServers are backend servers that share a list of faults and count runs by key.
 type faultyServers struct {
@@ -44,7 +44,7 @@
 	runs   map[string]int
 }
 
-func (faultyServers *faultyServers) next() fault {
+func (faultyServers *faultyServers) nextFault() fault {
 	faultyServers.mutex.Lock()
 	defer faultyServers.mutex.Unlock()
 	if len(faultyServers.faults) == 0 {
@@ -75,22 +75,22 @@
 }
 
 // treat serves one connection.
-func (faultyServers *faultyServers) treat(connection net.Conn) {
+func (faultyServers *faultyServers) handleConnection(connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		fault := faultyServers.next()
-		if !faultyServers.one(connection, reader, fault) {
+		fault := faultyServers.nextFault()
+		if !faultyServers.handleRequest(connection, reader, fault) {
 			return
 		}
 	}
 }
 
 // one treats one request and reports whether the connection goes on.
-func (faultyServers *faultyServers) one(connection net.Conn, reader *bufio.Reader, fault fault) bool {
+func (faultyServers *faultyServers) handleRequest(connection net.Conn, reader *bufio.Reader, fault fault) bool {
 	switch fault.kind {
 	case faultCloseAtOnce:
 		return false
@@ -117,10 +117,10 @@
 		_, _ = reader.Peek(1)
 		return false
 	case faultCutAnswer:
-		_, _ = io.WriteString(connection, wholeAnswer[:fault.cut%len(wholeAnswer)])
+		_, _ = io.WriteString(connection, fullResponse[:fault.cut%len(fullResponse)])
 		return false
 	}
-	_, _ = io.WriteString(connection, wholeAnswer)
+	_, _ = io.WriteString(connection, fullResponse)
 	return fault.kind != faultCloseBetween
 }
 
@@ -132,7 +132,7 @@
 	serviceSettings.Retry.BudgetShare = 1
 	serviceSettings.Queue.Wait = 5 * clock.Second
 	fixture := newFixture(t, serviceSettings,
-		startRawBackend(t, servers.treat), startRawBackend(t, servers.treat), startRawBackend(t, servers.treat))
+		startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection))
 	kinds := []string{
 		faultNone, faultNone, faultNone, faultCloseAtOnce, faultCutRequest, faultCutAfterRun, faultCutAnswer, faultRefuse, faultCloseBetween, faultSilent,
 	}
@@ -154,13 +154,13 @@
 			request.Header.Set("Idempotency-Key", key)
 			request.Header.Set(outcome.HeaderTimeout, "60")
 			got, err := sendWhole(request)
-			checkOnce(rapidT, payment, got, err, servers.runsOf(key))
+			checkAtMostOnce(rapidT, payment, got, err, servers.runsOf(key))
 		}
 	})
 }
 
 // checkOnce compares what a caller was told with what ran.
-func checkOnce(t *rapid.T, payment bool, got answer, err error, runs int) {
+func checkAtMostOnce(t *rapid.T, payment bool, got response, err error, runs int) {
 	if payment {
 		require.LessOrEqual(t, runs, 1, "a payment ran twice")
 	}
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -13,7 +13,7 @@
 
 // attempt is what came of sending the request to one backend server.
 type attempt struct {
-	place    service.Place
+	permit   service.Place
 	exchange *backendserver.Exchange
 	// buffered is the answer's body, as far as it was read ahead.
 	buffered []byte
@@ -22,12 +22,12 @@
 	notRun bool
 	// free says that sending again costs the retry budget nothing: an idle connection had died unnoticed, which says
 	// nothing about the server.
-	free bool
+	budgetExempt bool
 	// reached says that a connection had the request.
-	reached bool
+	connected bool
 	// cancel ends a context that belongs to this attempt alone; it may be nil.
 	cancel context.CancelFunc
-	story  trace.Attempt
+	trace  trace.Attempt
 }
 
 // answered reports whether the attempt brought an answer that may be passed on.
@@ -36,67 +36,67 @@
 }
 
 // note keeps what an attempt tells of the request.
-func (call *call) note(attempt *attempt) {
-	call.tried = attempt.place.Target
-	call.body.handedOver = call.body.handedOver || attempt.reached
+func (call *call) recordAttempt(attempt *attempt) {
+	call.lastTarget = attempt.permit.Target
+	call.body.streamUsed = call.body.streamUsed || attempt.connected
 	if attempt.exchange != nil {
-		call.route.Class.Metrics.Attempt.Record(attempt.story.Took)
+		call.route.Class.Metrics.Attempt.Record(attempt.trace.Took)
 	}
-	call.attempts = append(call.attempts, attempt.story)
+	call.attempts = append(call.attempts, attempt.trace)
 }
 
 // send sends the request to the backend server of a place, once, and judges what comes back. It leaves the call as it
 // is, so that two may run at once. The place is given back unless there is an answer to pass on.
-func (call *call) send(ctx context.Context, place service.Place, request *http.Request) attempt {
-	target := place.Target
+func (call *call) send(ctx context.Context, permit service.Place, request *http.Request) attempt {
+	target := permit.Target
 	freshOnly := !call.route.Class.Settings.Idempotent
 	before := call.now()
 	exchange, err := call.handler.options.Servers.Send(ctx, target.Name, request, freshOnly)
-	attempt := attempt{place: place, exchange: exchange, err: err, reached: !neverConnected(err)}
-	attempt.story = trace.Attempt{
-		Target: target.Name, DataCentre: target.DataCentre, Considered: place.Listed, Taken: place.Taken, Waited: place.Waited,
-		Slowdown: place.Reading.Slowdown, ReadingAge: max(place.ReadingAge(before), 0),
+	attempt := attempt{permit: permit, exchange: exchange, err: err, connected: !isConnectError(err)}
+	attempt.trace = trace.Attempt{
+		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Listed, Taken: permit.Taken, Waited: permit.Waited,
+		Slowdown: permit.Reading.Slowdown, ReadingAge: max(permit.ReadingAge(before), 0),
 	}
 	if err == nil {
-		call.judgeAnswer(&attempt)
+		call.handleResponse(&attempt)
 	}
 	if attempt.err != nil {
-		call.judgeError(ctx, &attempt)
+		call.handleError(ctx, &attempt)
 	}
-	attempt.story.Took = call.now().Since(before)
+	attempt.trace.Took = call.now().Since(before)
 	return attempt
 }
 
 // neverConnected reports whether an attempt failed before any connection had the request.
-func neverConnected(err error) bool {
+func isConnectError(err error) bool {
 	var failure *backendserver.Error
 	return errors.As(err, &failure) && failure.Step == backendserver.StepConnect
 }
 
 // judgeError learns from a failed attempt, and gives the place back.
-func (call *call) judgeError(ctx context.Context, attempt *attempt) {
+func (call *call) handleError(ctx context.Context, attempt *attempt) {
 	var failure *backendserver.Error
 	reused := errors.As(attempt.err, &failure) && failure.Reused
 	attempt.notRun = backendserver.IsErrNotWritten(attempt.err)
-	attempt.free = attempt.notRun && reused
-	attempt.story.Reused = reused
-	attempt.story.Error = attempt.err.Error()
-	attempt.story.Result = trace.ResultCut
+	attempt.budgetExempt = attempt.notRun && reused
+	attempt.trace.Reused = reused
+	attempt.trace.Error = attempt.err.Error()
+	attempt.trace.Result = trace.ResultCut
 	if attempt.notRun {
-		attempt.story.Result = trace.ResultNotWritten
+		attempt.trace.Result = trace.ResultNotWritten
 	}
-	attempt.place.Release(call.blame(ctx, attempt))
+	attempt.permit.Release(call.failureResult(ctx, attempt))
 }
 
 // blame tells whether a failed attempt counts against the backend server. One that ended because its caller went away,
 // or whose body the caller did not send, does not.
-func (call *call) blame(ctx context.Context, attempt *attempt) service.Result {
+func (call *call) failureResult(ctx context.Context, attempt *attempt) service.Result {
 	switch {
-	case attempt.free,
+	case attempt.budgetExempt,
 		errors.Is(attempt.err, backendserver.ErrConnectionsUsed),
 		errors.Is(attempt.err, backendserver.ErrUnknownTarget),
 		errors.Is(ctx.Err(), context.Canceled),
-		call.body.failed() != nil:
+		call.body.readError() != nil:
 		return service.Cancelled
 	default:
 		return service.Failed
@@ -105,30 +105,30 @@
 
 // judgeAnswer learns from an answer's header, and reads the body ahead where the dialect asks for it. The place is given
 // back when the answer has been passed on, or at once when the server refused.
-func (call *call) judgeAnswer(attempt *attempt) {
+func (call *call) handleResponse(attempt *attempt) {
 	response := attempt.exchange.Response
 	dialect := call.handler.options.Dialect
-	attempt.story.Reused = attempt.exchange.Reused
-	attempt.story.Status = response.StatusCode
-	attempt.story.Result = trace.ResultAnswered
-	if reading, told := dialect.ParseLoad(response.Header); told {
-		reading.At = call.now()
-		attempt.place.Observe(reading)
+	attempt.trace.Reused = attempt.exchange.Reused
+	attempt.trace.Status = response.StatusCode
+	attempt.trace.Result = trace.ResultAnswered
+	if loadReading, reported := dialect.ParseLoad(response.Header); reported {
+		loadReading.At = call.now()
+		attempt.permit.Observe(loadReading)
 	}
 	if attempt.err = dialect.CheckResponse(call.id, response); attempt.err != nil {
 		attempt.discard()
 		return
 	}
 	if dialect.MaxBufferedResponseBytes > 0 {
-		if attempt.err = attempt.readAhead(dialect.MaxBufferedResponseBytes); attempt.err != nil {
+		if attempt.err = attempt.bufferBody(dialect.MaxBufferedResponseBytes); attempt.err != nil {
 			attempt.discard()
 			return
 		}
 	}
 	if dialect.NotRun(response, call.route.Service.Settings) {
-		attempt.story.Result = trace.ResultNotRun
+		attempt.trace.Result = trace.ResultNotRun
 		attempt.notRun = true
-		attempt.place.Release(service.Failed)
+		attempt.permit.Release(service.Failed)
 	}
 }
 
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -37,7 +37,7 @@
 			}
 			writer := httptest.NewRecorder()
 			call := &call{
-				request: request, writer: writer, control: http.NewResponseController(writer),
+				request: request, writer: writer, controller: http.NewResponseController(writer),
 				handler: NewHandler(Options{MaxStall: clock.Minute, Clock: clock.New()}),
 				route:   routing.Route{Class: &routing.Class{Settings: settings.Class{BodyMost: 1 << 20}}},
 			}
@@ -46,7 +46,7 @@
 			body, _ := call.body.reader(request.ContentLength)
 			_, err := io.Copy(io.Discard, body)
 			require.NoError(t, err)
-			require.Equal(t, testCase.length, call.body.length())
+			require.Equal(t, testCase.length, call.body.bytesRead())
 		})
 	}
 }
@@ -63,7 +63,7 @@
 		writer := httptest.NewRecorder()
 		call := &call{
 			request: httptest.NewRequest(http.MethodPost, "/sheets", strings.NewReader(strings.Repeat("x", length))),
-			writer:  writer, control: http.NewResponseController(writer), handler: handler,
+			writer:  writer, controller: http.NewResponseController(writer), handler: handler,
 			route: routing.Route{Class: &routing.Class{Settings: settings.Class{BodyMost: 64 << 20}}},
 		}
 		call.deadline = call.now().Add(clock.Minute)
@@ -72,7 +72,7 @@
 	}
 	require.False(t, upload(600<<10).body.replayable() && upload(600<<10).body.stream == nil, "longer than the dialect allows")
 	var held []*call
-	for range heldBodiesMost / length {
+	for range maxBufferedBodyBytes / length {
 		call := upload(length)
 		require.True(t, call.body.replayable())
 		require.Nil(t, call.body.stream)
@@ -83,6 +83,6 @@
 	for _, call := range held {
 		call.body.finish(handler)
 	}
-	require.Zero(t, handler.heldBodies.Load())
+	require.Zero(t, handler.bufferedBodyBytes.Load())
 	require.Nil(t, upload(length).body.stream)
 }
--- a/internal/caller/connection.go
+++ b/internal/caller/connection.go
@@ -16,37 +16,37 @@
 	*net.TCPConn
 	guard headGuard
 	// forget takes the connection out of those that its listener waits for, release makes room for another one.
-	forget, release func()
+	untrack, releaseToken func()
 	// unfinished is called when the connection ends within a request that was never handled.
-	unfinished func()
+	onUnfinished func()
 	// pending says that bytes have arrived which belong to no handled request.
-	pending atomic.Bool
+	unhandledBytes atomic.Bool
 	// multiplexed says that it carries several requests at once.
 	multiplexed atomic.Bool
 
 	mutex   sync.Mutex
 	state   http.ConnState
-	retired bool
+	closing bool
 }
 
 // begin notes that a request is being handled.
-func (guardedConnection *guardedConnection) begin(request *http.Request) {
-	guardedConnection.pending.Store(false)
+func (guardedConnection *guardedConnection) beginRequest(request *http.Request) {
+	guardedConnection.unhandledBytes.Store(false)
 	if request.ProtoMajor > 1 {
-		guardedConnection.multiplex()
+		guardedConnection.markMultiplexed()
 	}
 }
 
 // multiplex notes that the connection carries several requests at once; the server ends it, not its listener.
-func (guardedConnection *guardedConnection) multiplex() {
+func (guardedConnection *guardedConnection) markMultiplexed() {
 	if !guardedConnection.multiplexed.Swap(true) {
-		guardedConnection.forget()
+		guardedConnection.untrack()
 	}
 }
 
 // finish notes that a request has been handled; the bytes of its body belonged to it.
-func (guardedConnection *guardedConnection) finish() {
-	guardedConnection.pending.Store(false)
+func (guardedConnection *guardedConnection) endRequest() {
+	guardedConnection.unhandledBytes.Store(false)
 }
 
 // Read implements net.Conn.
@@ -54,11 +54,11 @@
 	count, err := guardedConnection.TCPConn.Read(buffer)
 	guardedConnection.guard.observe(buffer[:count])
 	if count > 0 {
-		guardedConnection.pending.Store(true)
+		guardedConnection.unhandledBytes.Store(true)
 	}
 	if guardedConnection.guard.sawPreface {
 		// A request may never come on it.
-		guardedConnection.multiplex()
+		guardedConnection.markMultiplexed()
 	}
 	return count, err
 }
@@ -67,44 +67,44 @@
 func (guardedConnection *guardedConnection) SetReadDeadline(deadline time.Time) error {
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
-	if guardedConnection.retired && guardedConnection.waits() {
-		deadline = longAgo
+	if guardedConnection.closing && guardedConnection.awaitsRequest() {
+		deadline = pastDeadline
 	}
 	return guardedConnection.TCPConn.SetReadDeadline(deadline)
 }
 
 // longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // waits reports whether the connection waits for a request of which nothing has come.
-func (guardedConnection *guardedConnection) waits() bool {
-	return guardedConnection.state != http.StateActive && !guardedConnection.pending.Load() && !guardedConnection.unread()
+func (guardedConnection *guardedConnection) awaitsRequest() bool {
+	return guardedConnection.state != http.StateActive && !guardedConnection.unhandledBytes.Load() && !guardedConnection.hasUnreadBytes()
 }
 
 // unread reports whether bytes have arrived that have not been read: a process that is short of processor time comes to them late.
-func (guardedConnection *guardedConnection) unread() bool {
+func (guardedConnection *guardedConnection) hasUnreadBytes() bool {
 	raw, err := guardedConnection.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var count int
-	var failed error
-	err = raw.Control(func(descriptor uintptr) { count, failed = unix.IoctlGetInt(int(descriptor), unix.TIOCINQ) })
-	return err == nil && failed == nil && count > 0
+	var ioctlErr error
+	err = raw.Control(func(descriptor uintptr) { count, ioctlErr = unix.IoctlGetInt(int(descriptor), unix.TIOCINQ) })
+	return err == nil && ioctlErr == nil && count > 0
 }
 
 // retire ends the connection, if it waits for a request, or else after the request that it has. New ones are left alone unless they
 // are to end as well.
-func (guardedConnection *guardedConnection) retire(newAsWell bool) {
+func (guardedConnection *guardedConnection) closeWhenIdle(includeNew bool) {
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
-	if guardedConnection.state == http.StateNew && !newAsWell || guardedConnection.multiplexed.Load() {
+	if guardedConnection.state == http.StateNew && !includeNew || guardedConnection.multiplexed.Load() {
 		return
 	}
-	guardedConnection.retired = true
-	if guardedConnection.waits() {
+	guardedConnection.closing = true
+	if guardedConnection.awaitsRequest() {
 		// One that has ended already needs nothing more.
-		_ = guardedConnection.TCPConn.SetReadDeadline(longAgo)
+		_ = guardedConnection.TCPConn.SetReadDeadline(pastDeadline)
 	}
 }
 
@@ -112,12 +112,12 @@
 func (guardedConnection *guardedConnection) setState(state http.ConnState) {
 	if state == http.StateIdle {
 		// The next bytes are a head.
-		guardedConnection.guard.restart()
+		guardedConnection.guard.reset()
 	}
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
 	guardedConnection.state = state
-	if state == http.StateActive && guardedConnection.retired {
+	if state == http.StateActive && guardedConnection.closing {
 		// The request was read as the connection was retired. Its body may still come, and a read that fails would be taken for
 		// a caller that has gone.
 		_ = guardedConnection.TCPConn.SetReadDeadline(time.Time{})
@@ -125,7 +125,7 @@
 }
 
 // noteState is the server's hook for changes of a connection's state.
-func noteState(connection net.Conn, state http.ConnState) {
+func handleConnState(connection net.Conn, state http.ConnState) {
 	if guarded, isGuarded := connection.(*guardedConnection); isGuarded {
 		guarded.setState(state)
 	}
@@ -133,10 +133,10 @@
 
 // Close implements net.Conn.
 func (guardedConnection *guardedConnection) Close() error {
-	defer guardedConnection.release()
-	defer guardedConnection.forget()
-	if guardedConnection.pending.Swap(false) {
-		guardedConnection.unfinished()
+	defer guardedConnection.releaseToken()
+	defer guardedConnection.untrack()
+	if guardedConnection.unhandledBytes.Swap(false) {
+		guardedConnection.onUnfinished()
 	}
 	return guardedConnection.TCPConn.Close()
 }
--- a/internal/caller/drain_test.go
+++ b/internal/caller/drain_test.go
@@ -18,58 +18,58 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const lookRequest = "GET /slots HTTP/1.1\r\nHost: " + fixtureHost + "\r\n\r\n"
+const slotsRequest = "GET /slots HTTP/1.1\r\nHost: " + fixtureHost + "\r\n\r\n"
 
 // drained is an instance whose backend server answers when it is told to.
-type drained struct {
+type drainFixture struct {
 	*fixture
 	listener *Listener
 	reached  chan struct{}
-	answer   chan struct{}
+	respond  chan struct{}
 }
 
-func newDrained(t *testing.T) *drained {
-	drained := &drained{reached: make(chan struct{}, 8), answer: make(chan struct{})}
+func newDrainFixture(t *testing.T) *drainFixture {
+	drainFixture := &drainFixture{reached: make(chan struct{}, 8), respond: make(chan struct{})}
 	address := startBackend(t, func(writer http.ResponseWriter, request *http.Request) {
-		drained.reached <- struct{}{}
+		drainFixture.reached <- struct{}{}
 		select {
-		case <-drained.answer:
+		case <-drainFixture.respond:
 		case <-request.Context().Done():
 		}
 		_, _ = io.WriteString(writer, "whole")
 	})
-	drained.fixture = makeFixture(t, fixtureService(), address)
+	drainFixture.fixture = makeFixture(t, fixtureService(), address)
 	limits := settings.Callers{ConnectionsMost: 100, HeaderMost: 8 << 10, HeaderTimeout: 30 * 1000, IdleMost: 60 * 1000}
-	listener, err := Listen("127.0.0.1:0", limits, &drained.registry.Events)
+	listener, err := Listen("127.0.0.1:0", limits, &drainFixture.registry.Events)
 	require.NoError(t, err)
-	drained.listener = listener
-	server := NewServer(drained.handler, limits, &drained.registry.Events)
+	drainFixture.listener = listener
+	server := NewServer(drainFixture.handler, limits, &drainFixture.registry.Events)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { server.Close() })
-	return drained
+	return drainFixture
 }
 
 // caller is one connection to the instance.
-type caller struct {
+type callerConnection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (drained *drained) dial(t *testing.T) *caller {
-	connection, err := net.Dial("tcp", drained.listener.Addr().String())
+func (drainFixture *drainFixture) dial(t *testing.T) *callerConnection {
+	connection, err := net.Dial("tcp", drainFixture.listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { connection.Close() })
 	require.NoError(t, connection.SetDeadline(time.Now().Add(time.Minute)))
-	return &caller{Conn: connection, reader: bufio.NewReader(connection)}
+	return &callerConnection{Conn: connection, reader: bufio.NewReader(connection)}
 }
 
-func (caller *caller) ask(t *testing.T) {
-	_, err := io.WriteString(caller, lookRequest)
+func (callerConnection *callerConnection) sendRequest(t *testing.T) {
+	_, err := io.WriteString(callerConnection, slotsRequest)
 	require.NoError(t, err)
 }
 
-func (caller *caller) read() (*http.Response, error) {
-	response, err := http.ReadResponse(caller.reader, nil)
+func (callerConnection *callerConnection) readResponse() (*http.Response, error) {
+	response, err := http.ReadResponse(callerConnection.reader, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -80,47 +80,47 @@
 
 // Guards against requests that are read and never answered, and against connections that hold up an instance that leaves.
 func TestDrainAnswersWhatItReadsAndEndsTheRest(t *testing.T) {
-	drained := newDrained(t)
-	idle, busy, late, silent := drained.dial(t), drained.dial(t), drained.dial(t), drained.dial(t)
-	idle.ask(t)
-	<-drained.reached
-	drained.answer <- struct{}{}
-	_, err := idle.read()
+	drainFixture := newDrainFixture(t)
+	idle, busy, late, unused := drainFixture.dial(t), drainFixture.dial(t), drainFixture.dial(t), drainFixture.dial(t)
+	idle.sendRequest(t)
+	<-drainFixture.reached
+	drainFixture.respond <- struct{}{}
+	_, err := idle.readResponse()
 	require.NoError(t, err)
-	busy.ask(t)
-	<-drained.reached
-	ended := make(chan error, 1)
-	drained.handler.Drain(0, clock.Minute)
-	go func() { ended <- drained.listener.Drain(context.Background()) }()
-	_, err = idle.read()
+	busy.sendRequest(t)
+	<-drainFixture.reached
+	drainResult := make(chan error, 1)
+	drainFixture.handler.Drain(0, clock.Minute)
+	go func() { drainResult <- drainFixture.listener.Drain(context.Background()) }()
+	_, err = idle.readResponse()
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF, "it waits for a request and none has come")
-	late.ask(t)
-	<-drained.reached
-	close(drained.answer)
-	for _, asked := range []*caller{busy, late} {
-		response, err := asked.read()
+	late.sendRequest(t)
+	<-drainFixture.reached
+	close(drainFixture.respond)
+	for _, connection := range []*callerConnection{busy, late} {
+		response, err := connection.readResponse()
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		require.True(t, response.Close, "the caller is told that the connection ends")
 	}
-	_, err = silent.read()
+	_, err = unused.readResponse()
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	require.NoError(t, <-ended)
+	require.NoError(t, <-drainResult)
 }
 
 // Guards against requests that an instance takes although they can't end before it does.
 func TestDrainRefusesWhatItCannotFinish(t *testing.T) {
-	drained := newDrained(t)
-	connection := drained.dial(t)
-	drained.handler.Drain(0, clock.Second)
-	connection.ask(t)
-	response, err := connection.read()
+	drainFixture := newDrainFixture(t)
+	connection := drainFixture.dial(t)
+	drainFixture.handler.Drain(0, clock.Second)
+	connection.sendRequest(t)
+	response, err := connection.readResponse()
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.Equal(t, string(outcome.NotRun), response.Header.Get(outcome.HeaderOutcome))
 	require.Equal(t, string(outcome.ReasonLeaving), response.Header.Get(outcome.HeaderReason))
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
-	require.Empty(t, drained.reached)
+	require.Empty(t, drainFixture.reached)
 }
 
 // acceptOne returns both ends of a connection to a listener for callers.
@@ -156,15 +156,15 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			peer, guarded := acceptOne(t)
 			guarded.setState(http.StateIdle)
-			buffer := make([]byte, len(lookRequest))
+			buffer := make([]byte, len(slotsRequest))
 			if testCase.arrived {
-				_, err := io.WriteString(peer, lookRequest)
+				_, err := io.WriteString(peer, slotsRequest)
 				require.NoError(t, err)
 				_, err = io.ReadFull(guarded, buffer)
 				require.NoError(t, err)
 			}
 			testCase.before(guarded)
-			guarded.retire(false)
+			guarded.closeWhenIdle(false)
 			require.NoError(t, guarded.SetReadDeadline(time.Time{}))
 			_, err := io.WriteString(peer, "more")
 			require.NoError(t, err)
@@ -180,7 +180,7 @@
 		t.Run(state.String(), func(t *testing.T) {
 			peer, guarded := acceptOne(t)
 			guarded.setState(state)
-			_, err := io.WriteString(peer, lookRequest)
+			_, err := io.WriteString(peer, slotsRequest)
 			require.NoError(t, err)
 			raw, err := guarded.SyscallConn()
 			require.NoError(t, err)
@@ -188,9 +188,9 @@
 				count, _, _ := unix.Recvfrom(int(descriptor), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 				return count > 0
 			}))
-			guarded.retire(true)
+			guarded.closeWhenIdle(true)
 			require.NoError(t, guarded.SetReadDeadline(time.Time{}))
-			_, err = io.ReadFull(guarded, make([]byte, len(lookRequest)))
+			_, err = io.ReadFull(guarded, make([]byte, len(slotsRequest)))
 			require.NoError(t, err)
 		})
 	}
@@ -198,8 +198,8 @@
 
 // Guards against a multiplexed connection without a request that holds up an instance that leaves.
 func TestDrainWaitsForNoMultiplexedConnection(t *testing.T) {
-	drained := newDrained(t)
-	connection := drained.dial(t)
+	drainFixture := newDrainFixture(t)
+	connection := drainFixture.dial(t)
 	_, err := io.WriteString(connection, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
 	require.NoError(t, err)
 	// The server's settings, the window, and its word that it has read those of the caller.
@@ -212,5 +212,5 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	require.NoError(t, drained.listener.Drain(ctx))
+	require.NoError(t, drainFixture.listener.Drain(ctx))
 }
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -32,7 +32,7 @@
 }
 
 // fixtureStall is the longest pause within a body that a fixture allows; a test may change it before it makes one.
-var fixtureStall = 30 * clock.Second
+var fixtureMaxStall = 30 * clock.Second
 
 func fixtureService() *settings.Service {
 	return &settings.Service{
@@ -86,7 +86,7 @@
 	})
 	fixture.handler = NewHandler(Options{
 		Table: func() *routing.Table { return fixture.table }, Servers: servers, Registry: fixture.registry, Traces: fixture.traces,
-		Clock: clock, Instance: "entry-1", MaxStall: fixtureStall,
+		Clock: clock, Instance: "entry-1", MaxStall: fixtureMaxStall,
 	})
 	t.Cleanup(servers.Close)
 	return fixture
@@ -100,7 +100,7 @@
 }
 
 // startRawBackend starts a backend server that treats each connection as given.
-func startRawBackend(t testing.TB, treat func(net.Conn)) string {
+func startRawBackend(t testing.TB, handle func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -110,7 +110,7 @@
 			if err != nil {
 				return
 			}
-			go treat(connection)
+			go handle(connection)
 		}
 	}()
 	return listener.Addr().String()
@@ -125,7 +125,7 @@
 }
 
 // answer is a whole answer.
-type answer struct {
+type response struct {
 	status  int
 	header  http.Header
 	trailer http.Header
@@ -135,26 +135,26 @@
 }
 
 // send sends a request on a connection of its own and reads the whole answer.
-func (fixture *fixture) send(t testing.TB, request *http.Request) answer {
+func (fixture *fixture) send(t testing.TB, request *http.Request) response {
 	got, err := sendWhole(request)
 	require.NoError(t, err)
 	return got
 }
 
-func sendWhole(request *http.Request) (answer, error) {
+func sendWhole(request *http.Request) (response, error) {
 	client := &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	response, err := client.Do(request)
+	httpResponse, err := client.Do(request)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	result, reason := outcome.FromHeader(response.Header)
-	got := answer{
-		status: response.StatusCode, header: response.Header, trailer: response.Trailer, body: string(text), outcome: result, reason: reason,
+	defer httpResponse.Body.Close()
+	text, err := io.ReadAll(httpResponse.Body)
+	result, reason := outcome.FromHeader(httpResponse.Header)
+	got := response{
+		status: httpResponse.StatusCode, header: httpResponse.Header, trailer: httpResponse.Trailer, body: string(text), outcome: result, reason: reason,
 	}
 	return got, err
 }
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -15,108 +15,108 @@
 // forward sends the request until it is answered or may not be sent again.
 func (call *call) forward(ctx context.Context) {
 	// failed is an earlier answer that told of a failure; it is passed on when nothing better comes.
-	var failed *attempt
+	var failedAttempt *attempt
 	for {
-		if problem := call.takePlace(ctx); problem != nil {
-			if failed != nil {
-				call.answer(*failed)
+		if errorResponse := call.acquirePermit(ctx); errorResponse != nil {
+			if failedAttempt != nil {
+				call.forwardResponse(*failedAttempt)
 				return
 			}
-			call.end(*problem)
+			call.respondWithError(*errorResponse)
 			return
 		}
 		attempt := call.attemptOnce(ctx)
-		if attempt.answered() && !call.worthRetry(&attempt) {
-			failed.discard()
-			call.answer(attempt)
+		if attempt.answered() && !call.isRetryableResponse(&attempt) {
+			failedAttempt.discard()
+			call.forwardResponse(attempt)
 			return
 		}
 		if !call.mayRetry(ctx, &attempt) {
-			call.endAttempts(ctx, &attempt, failed)
+			call.finishAttempts(ctx, &attempt, failedAttempt)
 			return
 		}
 		if attempt.answered() {
-			failed.discard()
-			failed = &attempt
+			failedAttempt.discard()
+			failedAttempt = &attempt
 			call.release(service.Failed)
 		} else {
 			attempt.discard()
 		}
 		call.route.Class.Metrics.CountRetry()
 		if !attempt.notRun {
-			call.repeatQuota()
+			call.chargeRetry()
 		}
 	}
 }
 
 // endAttempts ends a request that is not sent again: with a backend server's answer if there is any.
-func (call *call) endAttempts(ctx context.Context, last, failed *attempt) {
-	if last.answered() {
-		failed.discard()
-		call.answer(*last)
+func (call *call) finishAttempts(ctx context.Context, lastAttempt, failedAttempt *attempt) {
+	if lastAttempt.answered() {
+		failedAttempt.discard()
+		call.forwardResponse(*lastAttempt)
 		return
 	}
-	if failed != nil {
-		last.discard()
-		call.answer(*failed)
+	if failedAttempt != nil {
+		lastAttempt.discard()
+		call.forwardResponse(*failedAttempt)
 		return
 	}
-	call.endFailed(ctx, last)
+	call.respondWithFailure(ctx, lastAttempt)
 }
 
 // worthRetry reports whether an answer tells of a failure that another backend server may not have. Answers are only
 // held back for that where they are read ahead.
-func (call *call) worthRetry(attempt *attempt) bool {
+func (call *call) isRetryableResponse(attempt *attempt) bool {
 	return call.route.Class.Settings.Idempotent && call.handler.options.Dialect.MaxBufferedResponseBytes > 0 &&
 		attempt.exchange.Response.StatusCode >= http.StatusInternalServerError
 }
 
 // takePlace waits for a place on a backend server.
-func (call *call) takePlace(ctx context.Context) *ending {
+func (call *call) acquirePermit(ctx context.Context) *errorResponse {
 	before := call.now()
-	place, err := call.route.Service.Take(ctx, call.demand())
+	permit, err := call.route.Service.Take(ctx, call.permitRequest())
 	if err == nil {
-		call.queued += place.Waited
-		call.place = place
-		if (place.Waited > 0 || len(call.attempts) > 0) && call.revoked() {
-			return call.endRevoked()
+		call.queueTime += permit.Waited
+		call.permit = permit
+		if (permit.Waited > 0 || len(call.attempts) > 0) && call.keyRevoked() {
+			return call.rejectRevoked()
 		}
 		return nil
 	}
-	call.queued += call.now().Since(before)
+	call.queueTime += call.now().Since(before)
 	retryAfter := call.route.Service.Settings.Queue.RetryAfter
-	var refused *service.RefusedError
-	if errors.As(err, &refused) {
-		retryAfter = refused.ComeBack
+	var refusedError *service.RefusedError
+	if errors.As(err, &refusedError) {
+		retryAfter = refusedError.ComeBack
 	}
-	problem := &ending{status: http.StatusServiceUnavailable, outcome: call.outcomeSoFar(), retryAfter: retryAfter, cause: err}
+	errorResponse := &errorResponse{status: http.StatusServiceUnavailable, outcome: call.outcomeSoFar(), retryAfter: retryAfter, cause: err}
 	switch {
 	case errors.Is(err, service.ErrNoTarget):
-		problem.reason = outcome.ReasonNoTarget
+		errorResponse.reason = outcome.ReasonNoTarget
 	case errors.Is(err, service.ErrQueueFull):
-		problem.reason = outcome.ReasonQueueFull
+		errorResponse.reason = outcome.ReasonQueueFull
 	case errors.Is(err, service.ErrQueueWait):
-		problem.reason = outcome.ReasonQueueWait
-	case leaves(ctx):
-		problem.reason = outcome.ReasonLeaving
-		problem.retryAfter = leavingComeBack
+		errorResponse.reason = outcome.ReasonQueueWait
+	case endedByDrain(ctx):
+		errorResponse.reason = outcome.ReasonLeaving
+		errorResponse.retryAfter = drainRetryAfter
 	case errors.Is(err, context.Canceled):
-		problem.reason = outcome.ReasonCallerGone
+		errorResponse.reason = outcome.ReasonCallerGone
 	default:
-		problem.status = http.StatusGatewayTimeout
-		problem.reason = outcome.ReasonDeadline
+		errorResponse.status = http.StatusGatewayTimeout
+		errorResponse.reason = outcome.ReasonDeadline
 	}
-	if problem.outcome == outcome.Unknown && problem.status == http.StatusServiceUnavailable {
+	if errorResponse.outcome == outcome.Unknown && errorResponse.status == http.StatusServiceUnavailable {
 		// That status would promise that the request did not run.
-		problem.status = http.StatusBadGateway
+		errorResponse.status = http.StatusBadGateway
 	}
-	return problem
+	return errorResponse
 }
 
-func (call *call) demand() service.Demand {
+func (call *call) permitRequest() service.Demand {
 	return service.Demand{
-		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, Tried: call.tried,
-		Class: call.route.Class.Name, Aim: call.aim,
+		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, Tried: call.lastTarget,
+		Class: call.route.Class.Name, Aim: call.softDeadline,
 	}
 }
 
@@ -139,14 +139,14 @@
 		attempt = call.hedge(ctx)
 	} else {
 		hints := &hints{call: call}
-		attempt = call.send(hints.watch(ctx), call.place, call.outgoing(call.place.Target))
-		hints.end()
+		attempt = call.send(hints.withHints(ctx), call.permit, call.outgoing(call.permit.Target))
+		hints.stop()
 	}
-	call.sending += call.now().Since(before)
-	call.note(&attempt)
-	call.place = attempt.place
+	call.attemptTime += call.now().Since(before)
+	call.recordAttempt(&attempt)
+	call.permit = attempt.permit
 	if !attempt.answered() {
-		call.place = service.Place{}
+		call.permit = service.Place{}
 	}
 	return attempt
 }
@@ -155,61 +155,61 @@
 // no payment is, whatever failed. A request that was a retry already when it came here is left to whoever retried it,
 // since nine calls deep each level's retries would multiply.
 func (call *call) mayRetry(ctx context.Context, attempt *attempt) bool {
-	if ctx.Err() != nil || !call.body.replayable() || call.body.failed() != nil {
+	if ctx.Err() != nil || !call.body.replayable() || call.body.readError() != nil {
 		return false
 	}
 	if !attempt.notRun && !call.route.Class.Settings.Idempotent {
 		return false
 	}
-	if len(call.attempts) >= call.attemptsMost() {
+	if len(call.attempts) >= call.maxAttempts() {
 		return false
 	}
-	if attempt.free {
+	if attempt.budgetExempt {
 		return true
 	}
 	return call.attemptNumber() == 0 && call.route.Service.Budget.Spend()
 }
 
-func (call *call) attemptsMost() int {
-	most := call.route.Class.Settings.Attempts
-	if most == 0 {
-		most = call.route.Service.Settings.Retry.Attempts
+func (call *call) maxAttempts() int {
+	limit := call.route.Class.Settings.Attempts
+	if limit == 0 {
+		limit = call.route.Service.Settings.Retry.Attempts
 	}
-	return min(most, trace.AttemptsMost)
+	return min(limit, trace.AttemptsMost)
 }
 
 // endFailed ends a request that is not sent again.
-func (call *call) endFailed(ctx context.Context, attempt *attempt) {
+func (call *call) respondWithFailure(ctx context.Context, attempt *attempt) {
 	defer attempt.discard()
-	failure := ending{status: http.StatusBadGateway, outcome: call.outcomeSoFar(), cause: attempt.err}
+	errorResponse := errorResponse{status: http.StatusBadGateway, outcome: call.outcomeSoFar(), cause: attempt.err}
 	switch {
-	case leaves(ctx) && failure.outcome == outcome.NotRun:
-		failure = *leavingRefusal()
-	case leaves(ctx):
-		failure.status = http.StatusGatewayTimeout
-		failure.reason = outcome.ReasonLeaving
+	case endedByDrain(ctx) && errorResponse.outcome == outcome.NotRun:
+		errorResponse = *newDrainRejection()
+	case endedByDrain(ctx):
+		errorResponse.status = http.StatusGatewayTimeout
+		errorResponse.reason = outcome.ReasonLeaving
 	case errors.Is(ctx.Err(), context.Canceled):
-		failure.reason = outcome.ReasonCallerGone
+		errorResponse.reason = outcome.ReasonCallerGone
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		failure.status = http.StatusGatewayTimeout
-		failure.reason = outcome.ReasonDeadline
-	case call.body.failed() != nil:
-		failure.status = http.StatusBadRequest
-		failure.reason = outcome.ReasonBodyUnreadable
-		failure.cause = call.body.failed()
-	case failure.outcome == outcome.Unknown:
-		failure.reason = outcome.ReasonCutBeforeAnswer
+		errorResponse.status = http.StatusGatewayTimeout
+		errorResponse.reason = outcome.ReasonDeadline
+	case call.body.readError() != nil:
+		errorResponse.status = http.StatusBadRequest
+		errorResponse.reason = outcome.ReasonBodyUnreadable
+		errorResponse.cause = call.body.readError()
+	case errorResponse.outcome == outcome.Unknown:
+		errorResponse.reason = outcome.ReasonCutBeforeAnswer
 	case attempt.exchange != nil:
-		failure.status = http.StatusServiceUnavailable
-		failure.reason = outcome.ReasonServerRefused
-		failure.retryAfter = call.route.Service.ComeBack()
+		errorResponse.status = http.StatusServiceUnavailable
+		errorResponse.reason = outcome.ReasonServerRefused
+		errorResponse.retryAfter = call.route.Service.ComeBack()
 	default:
-		failure.status = http.StatusServiceUnavailable
-		failure.reason = outcome.ReasonConnect
-		failure.retryAfter = clock.Second
+		errorResponse.status = http.StatusServiceUnavailable
+		errorResponse.reason = outcome.ReasonConnect
+		errorResponse.retryAfter = clock.Second
 		if call.handler.options.Dialect.MaxBufferedResponseBytes > 0 {
-			failure.retryAfter = call.route.Service.Settings.Queue.RetryAfter
+			errorResponse.retryAfter = call.route.Service.Settings.Queue.RetryAfter
 		}
 	}
-	call.end(failure)
+	call.respondWithError(errorResponse)
 }
--- a/internal/caller/forward_test.go
+++ b/internal/caller/forward_test.go
@@ -59,10 +59,10 @@
 			if testCase.key != "" {
 				request.Header.Set("Idempotency-Key", testCase.key)
 			}
-			answer := fixture.send(t, request)
-			require.Equal(t, http.StatusBadGateway, answer.status)
-			require.Equal(t, outcome.Unknown, answer.outcome)
-			require.Equal(t, outcome.ReasonCutBeforeAnswer, answer.reason)
+			response := fixture.send(t, request)
+			require.Equal(t, http.StatusBadGateway, response.status)
+			require.Equal(t, outcome.Unknown, response.outcome)
+			require.Equal(t, outcome.ReasonCutBeforeAnswer, response.reason)
 			require.EqualValues(t, 1, runs.Load())
 		})
 	}
@@ -80,9 +80,9 @@
 	})
 	fixture := newFixture(t, fixtureService(), cutting, working)
 	for range 6 {
-		answer := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/slots", http.NoBody))
-		require.Equal(t, http.StatusOK, answer.status)
-		require.Equal(t, outcome.Answered, answer.outcome)
+		response := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/slots", http.NoBody))
+		require.Equal(t, http.StatusOK, response.status)
+		require.Equal(t, outcome.Answered, response.outcome)
 	}
 	require.Positive(t, fixture.registry.View().Classes["rodopa/booking/look"].Retries)
 }
@@ -102,9 +102,9 @@
 	fixture := newFixture(t, fixtureService(), refusing, working)
 	for number := range 8 {
 		text := "amount=" + strconv.Itoa(number)
-		answer := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader(text)))
-		require.Equal(t, text, answer.body)
-		require.Equal(t, outcome.Answered, answer.outcome)
+		response := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader(text)))
+		require.Equal(t, text, response.body)
+		require.Equal(t, outcome.Answered, response.outcome)
 	}
 	require.EqualValues(t, 8, runs.Load())
 }
@@ -143,11 +143,11 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 	fixture := newFixture(t, fixtureService(), startBackend(t, refuse), startBackend(t, refuse))
-	answer := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader("x")))
-	require.Equal(t, http.StatusServiceUnavailable, answer.status)
-	require.Equal(t, outcome.NotRun, answer.outcome)
-	require.Equal(t, outcome.ReasonServerRefused, answer.reason)
-	require.Equal(t, "1", answer.header.Get("Retry-After"))
+	response := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader("x")))
+	require.Equal(t, http.StatusServiceUnavailable, response.status)
+	require.Equal(t, outcome.NotRun, response.outcome)
+	require.Equal(t, outcome.ReasonServerRefused, response.reason)
+	require.Equal(t, "1", response.header.Get("Retry-After"))
 	require.LessOrEqual(t, asked.Load(), int64(3))
 }
 
@@ -158,9 +158,9 @@
 	address := listener.Addr().String()
 	listener.Close()
 	fixture := newFixture(t, fixtureService(), address)
-	answer := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader("x")))
-	require.Equal(t, outcome.NotRun, answer.outcome)
-	require.Equal(t, outcome.ReasonConnect, answer.reason)
+	response := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader("x")))
+	require.Equal(t, outcome.NotRun, response.outcome)
+	require.Equal(t, outcome.ReasonConnect, response.reason)
 }
 
 // A backend server never answers. When the caller's time is over the caller is told so, and told that the request may
@@ -176,10 +176,10 @@
 	fixture := newFixture(t, fixtureService(), silent)
 	request := fixture.newRequest(t, http.MethodPost, "/payments", strings.NewReader("x"))
 	request.Header.Set(outcome.HeaderTimeout, "100")
-	answer := fixture.send(t, request)
-	require.Equal(t, http.StatusGatewayTimeout, answer.status)
-	require.Equal(t, outcome.Unknown, answer.outcome)
-	require.Equal(t, outcome.ReasonDeadline, answer.reason)
+	response := fixture.send(t, request)
+	require.Equal(t, http.StatusGatewayTimeout, response.status)
+	require.Equal(t, outcome.Unknown, response.outcome)
+	require.Equal(t, outcome.ReasonDeadline, response.reason)
 	passed, err := strconv.Atoi(<-given)
 	require.NoError(t, err)
 	require.LessOrEqual(t, passed, 100, "the time passed on must not grow")
@@ -208,8 +208,8 @@
 // A caller asks for an excerpt and stops reading. After a while its connection is given up, so that the backend server's
 // place is free for others.
 func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
-	fixtureStall = 50 * clock.Millisecond
-	t.Cleanup(func() { fixtureStall = 30 * clock.Second })
+	fixtureMaxStall = 50 * clock.Millisecond
+	t.Cleanup(func() { fixtureMaxStall = 30 * clock.Second })
 	cancelled := make(chan struct{})
 	backend := startBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
 		defer close(cancelled)
@@ -240,13 +240,13 @@
 	fixture := newFixture(t, fixtureService(), cutting, cutting)
 	request := fixture.newRequest(t, http.MethodGet, "/slots", http.NoBody)
 	request.Header.Set(outcome.HeaderAttempt, "1")
-	answer := fixture.send(t, request)
-	require.Equal(t, outcome.Unknown, answer.outcome)
+	response := fixture.send(t, request)
+	require.Equal(t, outcome.Unknown, response.outcome)
 	require.EqualValues(t, 1, asked.Load())
 }
 
 // Explain tells each choice of one request: here a first server that broke off, and the second one that answered.
-func TestStoryOfARequest(t *testing.T) {
+func TestRequestTrace(t *testing.T) {
 	cutting := startRawBackend(t, func(connection net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(connection))
 		connection.Close()
@@ -258,15 +258,15 @@
 		request := fixture.newRequest(t, http.MethodGet, "/slots", http.NoBody)
 		request.Header.Set(outcome.HeaderRequestID, id)
 		require.Equal(t, id, fixture.send(t, request).header.Get(outcome.HeaderRequestID))
-		story, found := fixture.traces.Find(trace.RequestID(id))
+		requestTrace, found := fixture.traces.Find(trace.RequestID(id))
 		require.True(t, found)
-		last := story.Attempts[len(story.Attempts)-1]
+		last := requestTrace.Attempts[len(requestTrace.Attempts)-1]
 		require.Equal(t, trace.ResultAnswered, last.Result)
 		require.EqualValues(t, working, last.Target)
-		if len(story.Attempts) == 2 {
-			require.Equal(t, trace.ResultCut, story.Attempts[0].Result)
-			require.EqualValues(t, cutting, story.Attempts[0].Target)
-			require.Equal(t, 2, story.Attempts[0].Considered)
+		if len(requestTrace.Attempts) == 2 {
+			require.Equal(t, trace.ResultCut, requestTrace.Attempts[0].Result)
+			require.EqualValues(t, cutting, requestTrace.Attempts[0].Target)
+			require.Equal(t, 2, requestTrace.Attempts[0].Considered)
 			return
 		}
 	}
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -27,11 +27,11 @@
 			// The instance may have broken the connection off already.
 			_ = half.CloseWrite()
 		}
-		_ = connection.SetReadDeadline(time.Now().Add(waitMost))
+		_ = connection.SetReadDeadline(time.Now().Add(maxWait))
 		_, _ = io.Copy(io.Discard, connection)
 		connection.Close()
-		answer := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
-		require.Equal(t, http.StatusOK, answer.status)
+		response := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
+		require.Equal(t, http.StatusOK, response.status)
 	})
 }
 
@@ -42,16 +42,16 @@
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\nX: content-length\n\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8) {
 		var whole, pieces headGuard
-		whole.restart()
-		pieces.restart()
+		whole.reset()
+		pieces.reset()
 		whole.observe(text)
 		for rest := text; len(rest) > 0; {
 			size := min(int(piece)+1, len(rest))
 			pieces.observe(rest[:size])
 			rest = rest[size:]
 		}
-		require.Equal(t, whole.sawLength, pieces.sawLength)
-		require.Equal(t, whole.loose, pieces.loose)
+		require.Equal(t, whole.sawContentLength, pieces.sawContentLength)
+		require.Equal(t, whole.desynchronized, pieces.desynchronized)
 		require.Equal(t, whole.scanning, pieces.scanning)
 	})
 }
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -54,10 +54,10 @@
 	// drain is nil until the instance leaves.
 	drain atomic.Pointer[drain]
 	// running is the context of all requests; endAll ends it.
-	running context.Context
-	endAll  context.CancelCauseFunc
+	baseContext context.Context
+	cancelAll   context.CancelCauseFunc
 	// heldBodies is the number of bytes of larger bodies that are held.
-	heldBodies atomic.Int64
+	bufferedBodyBytes atomic.Int64
 }
 
 // NewHandler returns a handler.
@@ -66,7 +66,7 @@
 		options.Dialect = NewDialect()
 	}
 	handler := &Handler{options: options}
-	handler.running, handler.endAll = context.WithCancelCause(context.Background())
+	handler.baseContext, handler.cancelAll = context.WithCancelCause(context.Background())
 	return handler
 }
 
@@ -89,8 +89,8 @@
 	defer handler.inFlight.Add(-1)
 	defer handler.countPanic()
 	if guarded, isGuarded := request.Context().Value(connectionKey{}).(*guardedConnection); isGuarded {
-		guarded.begin(request)
-		defer guarded.finish()
+		guarded.beginRequest(request)
+		defer guarded.endRequest()
 	}
 	if handler.options.Dialect.IsReservedPath(request.URL.Path) {
 		handler.serveAddresses(writer, request)
@@ -115,13 +115,13 @@
 
 func (handler *Handler) newCall(writer http.ResponseWriter, request *http.Request) *call {
 	call := &call{
-		handler: handler,
-		writer:  writer,
-		request: request,
-		control: http.NewResponseController(writer),
-		started: handler.options.Clock.Now(),
-		id:      handler.requestID(request),
-		table:   handler.options.Table(),
+		handler:    handler,
+		writer:     writer,
+		request:    request,
+		controller: http.NewResponseController(writer),
+		started:    handler.options.Clock.Now(),
+		id:         handler.requestID(request),
+		table:      handler.options.Table(),
 	}
 	if call.table == nil && handler.options.AwaitTable != nil {
 		call.table = handler.options.AwaitTable(request.Context())
@@ -130,13 +130,13 @@
 }
 
 // mostRequestID is the longest id that is taken over from a caller; explain shows it and the ring keeps it.
-const mostRequestID = 128
+const maxRequestIDLength = 128
 
 // requestID returns the caller's id, or a random one when there is none fit to keep.
 func (handler *Handler) requestID(request *http.Request) trace.RequestID {
-	given := request.Header.Get(handler.options.Dialect.RequestIDHeader)
-	if given == "" || len(given) > mostRequestID {
+	value := request.Header.Get(handler.options.Dialect.RequestIDHeader)
+	if value == "" || len(value) > maxRequestIDLength {
 		return trace.RequestID(rand.Text())
 	}
-	return trace.RequestID(given)
+	return trace.RequestID(value)
 }
--- a/internal/caller/headers.go
+++ b/internal/caller/headers.go
@@ -13,7 +13,7 @@
 )
 
 // hopByHop are the headers that speak of one connection only (RFC 9110, section 7.6.1).
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
@@ -39,12 +39,12 @@
 	header := incoming.Header.Clone()
 	wantsTrailers := httpguts.HeaderValuesContainsToken(header["Te"], "trailers")
 	removeHopByHop(header)
-	removeOwn(header, dialect.IsReservedHeader)
-	call.setTeam(header)
+	removeReserved(header, dialect.IsReservedHeader)
+	call.setTeamHeader(header)
 	if wantsTrailers {
 		header.Set("Te", "trailers")
 	}
-	if _, given := header["User-Agent"]; !given {
+	if _, present := header["User-Agent"]; !present {
 		// Without this the library would write its own name in the caller's place.
 		header["User-Agent"] = nil
 	}
@@ -58,8 +58,8 @@
 	}
 	if dialect.DiagnosticHeaders {
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
-		if caller, _, err := net.SplitHostPort(incoming.RemoteAddr); err == nil {
-			header.Add("X-Forwarded-For", caller)
+		if callerIP, _, err := net.SplitHostPort(incoming.RemoteAddr); err == nil {
+			header.Add("X-Forwarded-For", callerIP)
 		}
 	}
 	body, length := call.body.reader(incoming.ContentLength)
@@ -78,9 +78,9 @@
 }
 
 // removeOwn takes out headers that only jaywheel sets, so that neither side can speak in its name.
-func removeOwn(header http.Header, own func(string) bool) {
+func removeReserved(header http.Header, isReserved func(string) bool) {
 	for name := range header {
-		if own(name) {
+		if isReserved(name) {
 			delete(header, name)
 		}
 	}
@@ -92,11 +92,11 @@
 	if name == "" {
 		return 0
 	}
-	given := call.request.Header.Get(name)
-	if given == "" {
+	value := call.request.Header.Get(name)
+	if value == "" {
 		return 0
 	}
-	number, err := strconv.Atoi(given)
+	number, err := strconv.Atoi(value)
 	if err != nil || number < 0 {
 		return 1
 	}
--- a/internal/caller/headguard.go
+++ b/internal/caller/headguard.go
@@ -8,10 +8,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-const lengthHeader = "content-length"
+const contentLengthHeader = "content-length"
 
 // preface is the first line on a connection that carries several requests at once.
-const preface = "PRI * HTTP/2.0"
+const http2Preface = "PRI * HTTP/2.0"
 
 var errAmbiguousFraming = errors.New("the request gives its length in two ways")
 
@@ -22,22 +22,22 @@
 // It looks at whole heads only while it is sure where they begin. Once bytes have been read past the end of a head,
 // a body or a pipelined request, it stops looking for good, and a chunked request on such a connection is its last.
 type headGuard struct {
-	scanning  bool
-	loose     bool
-	sawLength bool
+	scanning         bool
+	desynchronized   bool
+	sawContentLength bool
 	// sawPreface says that the first line was the preface.
-	sawPreface bool
-	lines      int
-	prefix     [len(lengthHeader) + 1]byte
-	prefixed   int
+	sawPreface       bool
+	lines            int
+	linePrefix       [len(contentLengthHeader) + 1]byte
+	linePrefixLength int
 }
 
 // restart prepares for the next request on the connection.
-func (headGuard *headGuard) restart() {
-	headGuard.scanning = !headGuard.loose
-	headGuard.sawLength = false
+func (headGuard *headGuard) reset() {
+	headGuard.scanning = !headGuard.desynchronized
+	headGuard.sawContentLength = false
 	headGuard.lines = 0
-	headGuard.prefixed = 0
+	headGuard.linePrefixLength = 0
 }
 
 // observe looks at bytes as they arrive.
@@ -45,31 +45,31 @@
 	for headGuard.scanning && len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
-			headGuard.keep(data)
+			headGuard.appendPrefix(data)
 			return
 		}
-		headGuard.keep(data[:end])
+		headGuard.appendPrefix(data[:end])
 		headGuard.endLine()
 		data = data[end+1:]
 	}
 	if len(data) > 0 {
-		headGuard.loose = true
+		headGuard.desynchronized = true
 	}
 }
 
 // keep remembers the start of the current line.
-func (headGuard *headGuard) keep(part []byte) {
-	headGuard.prefixed += copy(headGuard.prefix[headGuard.prefixed:], part)
+func (headGuard *headGuard) appendPrefix(part []byte) {
+	headGuard.linePrefixLength += copy(headGuard.linePrefix[headGuard.linePrefixLength:], part)
 }
 
 func (headGuard *headGuard) endLine() {
-	line := bytes.TrimRight(headGuard.prefix[:headGuard.prefixed], "\r")
-	headGuard.prefixed = 0
+	line := bytes.TrimRight(headGuard.linePrefix[:headGuard.linePrefixLength], "\r")
+	headGuard.linePrefixLength = 0
 	if len(line) > 0 {
 		headGuard.lines++
-		headGuard.sawPreface = headGuard.sawPreface || headGuard.lines == 1 && string(line) == preface
+		headGuard.sawPreface = headGuard.sawPreface || headGuard.lines == 1 && string(line) == http2Preface
 		name, _, hasColon := bytes.Cut(line, []byte(":"))
-		headGuard.sawLength = headGuard.sawLength || hasColon && bytes.EqualFold(name, []byte(lengthHeader))
+		headGuard.sawContentLength = headGuard.sawContentLength || hasColon && bytes.EqualFold(name, []byte(contentLengthHeader))
 		return
 	}
 	// Empty lines before the request line are allowed; one after it ends the head.
@@ -86,8 +86,8 @@
 	if !isGuarded {
 		return true, nil
 	}
-	if guarded.guard.sawLength {
+	if guarded.guard.sawContentLength {
 		return true, errAmbiguousFraming
 	}
-	return guarded.guard.loose, nil
+	return guarded.guard.desynchronized, nil
 }
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -12,28 +12,28 @@
 // Hedging.
 const (
 	// hedgeMargin is how much longer than usual the second copy is given to be in time.
-	hedgeMargin = 1.15
+	hedgeMarginFactor = 1.15
 	// hedgeOverdue is how many times the usual time a request may take on a target that looks calm before a second copy
 	// is sent all the same: with a spread of 0.3, 1 in 20 takes longer.
-	hedgeOverdue = 1.5
+	hedgeOverdueFactor = 1.5
 	// hedgeLook is how often a request that is due looks whether its target has slowed down.
-	hedgeLook = 20 * clock.Millisecond
+	hedgePollInterval = 20 * clock.Millisecond
 )
 
 // mayHedge reports whether a second copy of the request could be sent while the first is under way. That protects the
 // tail: a target slows down in the midst of a request, and the answer comes too late although others are calm.
 func (call *call) mayHedge() bool {
 	return call.route.Service.Scheduler != nil && call.route.Class.Settings.Idempotent && call.body.replayable() &&
-		call.body.stream == nil && len(call.attempts)+1 < call.attemptsMost()
+		call.body.stream == nil && len(call.attempts)+1 < call.maxAttempts()
 }
 
 // hedge sends the request, and a second copy to another target at the last moment at which it can still be in time if
 // the first one's target is slow. The first usable answer wins and the other copy is cancelled.
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
-	first := call.place
-	call.place = service.Place{}
-	cancelFirst := call.sendCopy(ctx, first, results)
+	first := call.permit
+	call.permit = service.Place{}
+	cancelFirst := call.sendAsync(ctx, first, results)
 	second, winner := call.awaitFirst(ctx, first, results)
 	if winner != nil {
 		return *winner
@@ -43,32 +43,32 @@
 		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "a second copy was sent",
 	})
 	call.route.Class.Metrics.CountRetry()
-	call.repeatQuota()
-	cancelSecond := call.sendCopy(ctx, second, results)
-	one := <-results
-	if one.answered() && !call.worthRetry(&one) {
-		if one.place.Target == first.Target {
+	call.chargeRetry()
+	cancelSecond := call.sendAsync(ctx, second, results)
+	earlier := <-results
+	if earlier.answered() && !call.isRetryableResponse(&earlier) {
+		if earlier.permit.Target == first.Target {
 			cancelSecond()
 		} else {
 			cancelFirst()
 		}
-		go settle(results)
-		return one
+		go awaitLoser(results)
+		return earlier
 	}
-	other := <-results
-	if other.answered() {
-		settleAttempt(&one)
-		return other
+	later := <-results
+	if later.answered() {
+		discardLoser(&earlier)
+		return later
 	}
-	if one.answered() {
-		settleAttempt(&other)
-		return one
+	if earlier.answered() {
+		discardLoser(&later)
+		return earlier
 	}
-	return unanswered(one, other)
+	return mergeFailures(earlier, later)
 }
 
 // unanswered returns the copy that tells how a request ended of which no copy was answered: it has not run only if neither copy has.
-func unanswered(one, other attempt) attempt {
+func mergeFailures(one, other attempt) attempt {
 	if other.notRun && !one.notRun {
 		one, other = other, one
 	}
@@ -77,11 +77,11 @@
 }
 
 // sendCopy sends the request under a context of its own, which lasts until what comes of it has been discarded or passed on.
-func (call *call) sendCopy(ctx context.Context, place service.Place, results chan<- attempt) context.CancelFunc {
+func (call *call) sendAsync(ctx context.Context, permit service.Place, results chan<- attempt) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
-	request := call.outgoing(place.Target)
+	request := call.outgoing(permit.Target)
 	go func() {
-		attempt := call.send(ctx, place, request)
+		attempt := call.send(ctx, permit, request)
 		attempt.cancel = cancel
 		results <- attempt
 	}()
@@ -89,25 +89,25 @@
 }
 
 // settle waits for the copy that lost and gives back what it holds.
-func settle(results <-chan attempt) {
-	lost := <-results
-	settleAttempt(&lost)
+func awaitLoser(results <-chan attempt) {
+	loser := <-results
+	discardLoser(&loser)
 }
 
-func settleAttempt(lost *attempt) {
-	if lost.answered() {
-		lost.place.Release(service.Cancelled)
+func discardLoser(loser *attempt) {
+	if loser.answered() {
+		loser.permit.Release(service.Cancelled)
 	}
-	lost.discard()
+	loser.discard()
 }
 
 // awaitFirst waits for the first copy. It returns a place for the second one when the first is slow, or else what came of
 // the first.
 func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
-	work := call.route.Service.Scheduler.Expected(call.route.Class.Name)
-	last := call.aim.Add(-service.CallerDistance - hedgeMargin*work)
-	overdue := call.now().Add(hedgeOverdue * work)
-	timer := time.NewTimer(max(min(last.Since(call.now()), hedgeOverdue*work), 0).Duration())
+	expected := call.route.Service.Scheduler.Expected(call.route.Class.Name)
+	latestStart := call.softDeadline.Add(-service.CallerDistance - hedgeMarginFactor*expected)
+	overdueAt := call.now().Add(hedgeOverdueFactor * expected)
+	timer := time.NewTimer(max(min(latestStart.Since(call.now()), hedgeOverdueFactor*expected), 0).Duration())
 	defer timer.Stop()
 	for {
 		select {
@@ -116,20 +116,20 @@
 		case <-timer.C:
 		}
 		now := call.now()
-		if ctx.Err() == nil && call.mayRepeat() && !call.revoked() && (now >= overdue || first.Slow()) {
-			demand := call.demand()
-			demand.Tried = first.Target
-			if second, taken := call.takeSecond(demand); taken {
+		if ctx.Err() == nil && call.quotaAllowsRetry() && !call.keyRevoked() && (now >= overdueAt || first.Slow()) {
+			permitRequest := call.permitRequest()
+			permitRequest.Tried = first.Target
+			if second, acquired := call.acquireHedgePermit(permitRequest); acquired {
 				return second, nil
 			}
 		}
-		timer.Reset(hedgeLook.Duration())
+		timer.Reset(hedgePollInterval.Duration())
 	}
 }
 
-func (call *call) takeSecond(demand service.Demand) (service.Place, bool) {
-	second, taken := call.route.Service.Scheduler.TryTake(demand)
-	if !taken {
+func (call *call) acquireHedgePermit(permitRequest service.Demand) (service.Place, bool) {
+	second, acquired := call.route.Service.Scheduler.TryTake(permitRequest)
+	if !acquired {
 		return service.Place{}, false
 	}
 	if !call.route.Service.Budget.Spend() {
--- a/internal/caller/hedge_test.go
+++ b/internal/caller/hedge_test.go
@@ -38,7 +38,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			joined := unanswered(testCase.one(t), testCase.other(t))
+			joined := mergeFailures(testCase.one(t), testCase.other(t))
 			require.False(t, joined.answered())
 			require.Equal(t, testCase.notRun, joined.notRun)
 			joined.discard()
--- a/internal/caller/hints.go
+++ b/internal/caller/hints.go
@@ -13,38 +13,38 @@
 // the connection's goroutine, which may still be running when the attempt has been given up; the mutex keeps one that
 // comes late from writing into the answer of another attempt.
 type hints struct {
-	call  *call
-	mutex sync.Mutex
-	ended bool
+	call    *call
+	mutex   sync.Mutex
+	stopped bool
 }
 
 // watch returns a context under which informational answers are passed on.
-func (hints *hints) watch(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: hints.pass})
+func (hints *hints) withHints(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: hints.relay})
 }
 
 // end passes nothing on any more.
-func (hints *hints) end() {
+func (hints *hints) stop() {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
-	hints.ended = true
+	hints.stopped = true
 }
 
-func (hints *hints) pass(status int, received textproto.MIMEHeader) error {
+func (hints *hints) relay(status int, received textproto.MIMEHeader) error {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
 	// The server itself sends 100 when the body is first read, and a change of protocol is not offered.
-	if hints.ended || status == http.StatusContinue || status == http.StatusSwitchingProtocols {
+	if hints.stopped || status == http.StatusContinue || status == http.StatusSwitchingProtocols {
 		return nil
 	}
-	passed := http.Header(received)
-	removeHopByHop(passed)
+	forwarded := http.Header(received)
+	removeHopByHop(forwarded)
 	header := hints.call.writer.Header()
-	own := hints.call.handler.options.Dialect.IsReservedHeader
-	maps.DeleteFunc(passed, func(name string, _ []string) bool { return own(name) })
-	maps.Copy(header, passed)
+	isReserved := hints.call.handler.options.Dialect.IsReservedHeader
+	maps.DeleteFunc(forwarded, func(name string, _ []string) bool { return isReserved(name) })
+	maps.Copy(header, forwarded)
 	hints.call.writer.WriteHeader(status)
-	for name := range passed {
+	for name := range forwarded {
 		header.Del(name)
 	}
 	return nil
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -15,26 +15,26 @@
 )
 
 // headerKey bears a caller's API key.
-const headerKey = "Authorization"
+const keyHeader = "Authorization"
 
 // keyScheme goes before the key, in any case (RFC 9110, section 11.1).
 const keyScheme = "Bearer"
 
 // keyMost is the length of the longest key that is looked for, in bytes.
-const keyMost = 4096
+const maxKeyLength = 4096
 
 // unsureComeBack is when a caller may return whose key is unknown to an instance that may not have the newest configuration.
-const unsureComeBack = 250 * clock.Millisecond
+const unconfirmedKeyRetryAfter = 250 * clock.Millisecond
 
 // Why a request bears no key that counts. None of them quotes what the caller sent.
 var (
-	errNoKey      = errors.New("the request bears no API key")
-	errManyKeys   = errors.New("the request bears more than one API key")
-	errKeyForm    = errors.New("the API key is not given as \"Bearer KEY\"")
-	errUnknownKey = errors.New("no team holds the API key")
-	errUnsureKey  = errors.New("no team holds the API key in a configuration that may not be the newest")
-	errStaleKeys  = errors.New("nothing has been heard of the store for so long that the API key may have been revoked")
-	errTeamLimit  = errors.New("the team's rate limit is reached")
+	errNoKey          = errors.New("the request bears no API key")
+	errMultipleKeys   = errors.New("the request bears more than one API key")
+	errMalformedKey   = errors.New("the API key is not given as \"Bearer KEY\"")
+	errUnknownKey     = errors.New("no team holds the API key")
+	errUnconfirmedKey = errors.New("no team holds the API key in a configuration that may not be the newest")
+	errStaleKeys      = errors.New("nothing has been heard of the store for so long that the API key may have been revoked")
+	errTeamLimit      = errors.New("the team's rate limit is reached")
 )
 
 // identity is what a request's API key tells.
@@ -42,28 +42,28 @@
 	team   *team.Team
 	digest team.KeyDigest
 	// taken says that the request was counted against its team's rate limit.
-	taken bool
+	quotaCharged bool
 }
 
 // readKey returns the key that the request bears.
 func readKey(header http.Header) (string, error) {
-	values := header[headerKey]
+	values := header[keyHeader]
 	switch {
 	case len(values) == 0:
 		return "", errNoKey
 	case len(values) > 1:
-		return "", errManyKeys
+		return "", errMultipleKeys
 	}
 	scheme, key, found := strings.Cut(values[0], " ")
 	key = strings.Trim(key, " ")
-	if !found || !strings.EqualFold(scheme, keyScheme) || key == "" || len(key) > keyMost || strings.ContainsAny(key, " ,\t") {
-		return "", errKeyForm
+	if !found || !strings.EqualFold(scheme, keyScheme) || key == "" || len(key) > maxKeyLength || strings.ContainsAny(key, " ,\t") {
+		return "", errMalformedKey
 	}
 	return key, nil
 }
 
 // identify finds the team whose key the request bears, where requests need one.
-func (call *call) identify() *ending {
+func (call *call) authenticate() *errorResponse {
 	if call.table.Teams == nil {
 		return nil
 	}
@@ -78,21 +78,21 @@
 	if call.route.Public {
 		return nil
 	}
-	standing := call.keyStanding()
+	freshness := call.keyFreshness()
 	switch {
-	case err == nil && standing == team.KeysStale:
-		return &ending{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: unsureComeBack, cause: errStaleKeys}
+	case err == nil && freshness == team.KeysStale:
+		return &errorResponse{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: unconfirmedKeyRetryAfter, cause: errStaleKeys}
 	case err == nil:
 		return nil
-	case errors.Is(err, errUnknownKey) && standing != team.KeysCurrent:
-		return &ending{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: unsureComeBack, cause: errUnsureKey}
+	case errors.Is(err, errUnknownKey) && freshness != team.KeysCurrent:
+		return &errorResponse{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: unconfirmedKeyRetryAfter, cause: errUnconfirmedKey}
 	default:
 		call.writer.Header().Set("WWW-Authenticate", keyScheme)
-		return refusal(http.StatusUnauthorized, outcome.ReasonUnauthorized, err)
+		return newRejection(http.StatusUnauthorized, outcome.ReasonUnauthorized, err)
 	}
 }
 
-func (call *call) keyStanding() team.KeyStanding {
+func (call *call) keyFreshness() team.KeyStanding {
 	if call.handler.options.KeyFreshness == nil {
 		return team.KeysCurrent
 	}
@@ -100,41 +100,41 @@
 }
 
 // takeQuota counts the request against its team's rate limit.
-func (call *call) takeQuota() *ending {
+func (call *call) chargeQuota() *errorResponse {
 	quota := call.handler.options.Quota
 	if call.identity.team == nil || quota == nil {
 		return nil
 	}
-	wait, taken := quota.Take(call.identity.team.Name)
-	if !taken {
-		return &ending{status: http.StatusTooManyRequests, reason: outcome.ReasonTeamLimit, retryAfter: wait, cause: errTeamLimit}
+	wait, admitted := quota.Take(call.identity.team.Name)
+	if !admitted {
+		return &errorResponse{status: http.StatusTooManyRequests, reason: outcome.ReasonTeamLimit, retryAfter: wait, cause: errTeamLimit}
 	}
-	call.identity.taken = true
+	call.identity.quotaCharged = true
 	return nil
 }
 
 // repeatQuota counts another attempt against the team's rate limit.
-func (call *call) repeatQuota() {
-	if call.identity.taken {
+func (call *call) chargeRetry() {
+	if call.identity.quotaCharged {
 		call.handler.options.Quota.Repeat(call.identity.team.Name)
 	}
 }
 
 // returnQuota gives back what a request has taken that has not run and never will.
-func (call *call) returnQuota() {
-	if call.identity.taken {
-		call.identity.taken = false
+func (call *call) refundQuota() {
+	if call.identity.quotaCharged {
+		call.identity.quotaCharged = false
 		call.handler.options.Quota.Return(call.identity.team.Name)
 	}
 }
 
 // mayRepeat reports whether the team's rate limit leaves room for a second copy of the request.
-func (call *call) mayRepeat() bool {
-	return !call.identity.taken || !call.handler.options.Quota.Exhausted(call.identity.team.Name)
+func (call *call) quotaAllowsRetry() bool {
+	return !call.identity.quotaCharged || !call.handler.options.Quota.Exhausted(call.identity.team.Name)
 }
 
 // revoked reports whether the key was revoked after the request came.
-func (call *call) revoked() bool {
+func (call *call) keyRevoked() bool {
 	if call.identity.team == nil || call.route.Public {
 		return false
 	}
@@ -147,14 +147,14 @@
 }
 
 // endRevoked ends a request whose key was revoked before it was sent, or sent again.
-func (call *call) endRevoked() *ending {
+func (call *call) rejectRevoked() *errorResponse {
 	call.release(service.Cancelled)
 	for _, earlier := range call.attempts {
 		if earlier.Result != trace.ResultNotRun && earlier.Result != trace.ResultNotWritten {
-			return &ending{status: http.StatusBadGateway, outcome: outcome.Unknown, reason: outcome.ReasonUnauthorized, cause: errUnknownKey}
+			return &errorResponse{status: http.StatusBadGateway, outcome: outcome.Unknown, reason: outcome.ReasonUnauthorized, cause: errUnknownKey}
 		}
 	}
-	return refusal(http.StatusUnauthorized, outcome.ReasonUnauthorized, errUnknownKey)
+	return newRejection(http.StatusUnauthorized, outcome.ReasonUnauthorized, errUnknownKey)
 }
 
 // teamPriority is the team's priority, or that of the route if it has none.
@@ -166,7 +166,7 @@
 }
 
 // setTeam has the header tell a backend server whose request it is, and keeps the key from it.
-func (call *call) setTeam(header http.Header) {
+func (call *call) setTeamHeader(header http.Header) {
 	name := call.handler.options.Dialect.TeamHeader
 	if name == "" {
 		return
@@ -175,7 +175,7 @@
 	if call.table.Teams == nil {
 		return
 	}
-	header.Del(headerKey)
+	header.Del(keyHeader)
 	if call.identity.team != nil {
 		header.Set(name, string(call.identity.team.Name))
 	}
--- a/internal/caller/identity_test.go
+++ b/internal/caller/identity_test.go
@@ -14,16 +14,16 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		key, err := readKey(http.Header{headerKey: {text}})
+		key, err := readKey(http.Header{keyHeader: {text}})
 		if err != nil {
 			require.Empty(t, key)
 			return
 		}
 		require.NotEmpty(t, key)
-		require.LessOrEqual(t, len(key), keyMost)
+		require.LessOrEqual(t, len(key), maxKeyLength)
 		require.False(t, strings.ContainsAny(key, " ,\t"))
 		require.True(t, strings.HasSuffix(strings.TrimRight(text, " "), key))
-		_, err = readKey(http.Header{headerKey: {text, text}})
-		require.ErrorIs(t, err, errManyKeys)
+		_, err = readKey(http.Header{keyHeader: {text, text}})
+		require.ErrorIs(t, err, errMultipleKeys)
 	})
 }
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -16,28 +16,28 @@
 )
 
 // newMost is how long a connection that has brought nothing yet is waited for once no more are taken.
-const newMost = clock.Second
+const newConnectionTimeout = clock.Second
 
 // Connections that wait to be taken when listening ends are waited for at most for takenMost, and looked for every takenLook.
 const (
-	takenMost = 200 * clock.Millisecond
-	takenLook = 2 * clock.Millisecond
+	acceptQueueTimeout      = 200 * clock.Millisecond
+	acceptQueuePollInterval = 2 * clock.Millisecond
 )
 
 // Listener takes callers' connections, at most as many at once as there are tokens.
 type Listener struct {
 	*net.TCPListener
-	tokens     chan struct{}
-	closed     chan struct{}
-	once       sync.Once
-	unfinished func()
+	tokens       chan struct{}
+	closed       chan struct{}
+	closeOnce    sync.Once
+	onUnfinished func()
 
 	mutex sync.Mutex
 	// open are the connections that carry one request at a time.
 	open                map[*guardedConnection]struct{}
 	accepting, draining bool
 	// ended is closed when draining has left no open connection.
-	ended chan struct{}
+	drained chan struct{}
 }
 
 // Listen listens for callers and takes no more connections than the limit. It counts those that end unfinished.
@@ -51,8 +51,8 @@
 		return nil, errors.Wrap(err, "listen for callers")
 	}
 	return &Listener{
-		TCPListener: listener, tokens: make(chan struct{}, limits.ConnectionsMost), closed: make(chan struct{}), ended: make(chan struct{}),
-		open: map[*guardedConnection]struct{}{}, unfinished: func() { events.Add(EventUnfinished, 1) },
+		TCPListener: listener, tokens: make(chan struct{}, limits.ConnectionsMost), closed: make(chan struct{}), drained: make(chan struct{}),
+		open: map[*guardedConnection]struct{}{}, onUnfinished: func() { events.Add(EventUnfinished, 1) },
 	}, nil
 }
 
@@ -83,10 +83,10 @@
 		return nil, err
 	}
 	guarded := &guardedConnection{
-		TCPConn: connection, unfinished: listener.unfinished, release: sync.OnceFunc(func() { <-listener.tokens }),
+		TCPConn: connection, onUnfinished: listener.onUnfinished, releaseToken: sync.OnceFunc(func() { <-listener.tokens }),
 	}
-	guarded.forget = func() { listener.forget(guarded) }
-	guarded.guard.restart()
+	guarded.untrack = func() { listener.untrack(guarded) }
+	guarded.guard.reset()
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
 	listener.open[guarded] = struct{}{}
@@ -97,49 +97,49 @@
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
 	listener.accepting = accepting
-	listener.checkEnded()
+	listener.checkDrained()
 }
 
-func (listener *Listener) forget(guarded *guardedConnection) {
+func (listener *Listener) untrack(guarded *guardedConnection) {
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
 	delete(listener.open, guarded)
-	listener.checkEnded()
+	listener.checkDrained()
 }
 
-func (listener *Listener) checkEnded() {
+func (listener *Listener) checkDrained() {
 	if !listener.draining || listener.accepting || len(listener.open) > 0 {
 		return
 	}
 	select {
-	case <-listener.ended:
+	case <-listener.drained:
 	default:
-		close(listener.ended)
+		close(listener.drained)
 	}
 }
 
 // Close implements net.Listener.
 func (listener *Listener) Close() error {
-	listener.once.Do(func() { close(listener.closed) })
+	listener.closeOnce.Do(func() { close(listener.closed) })
 	return listener.TCPListener.Close()
 }
 
 // Drain takes no more connections than have come, ends those that wait for a request, and returns when all others have ended after the request that
 // they have. http.Server.Shutdown, which ends multiplexed connections well, must come after it: it drops requests that it has read.
 func (listener *Listener) Drain(ctx context.Context) error {
-	listener.waitUntilTaken(ctx)
+	listener.waitForAcceptQueue(ctx)
 	if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return errors.Wrap(err, "stop listening for callers")
 	}
-	listener.retire(false)
-	timer := time.NewTimer(newMost.Duration())
+	listener.closeWhenIdle(false)
+	timer := time.NewTimer(newConnectionTimeout.Duration())
 	defer timer.Stop()
 	for {
 		select {
-		case <-listener.ended:
+		case <-listener.drained:
 			return nil
 		case <-timer.C:
-			listener.retire(true)
+			listener.closeWhenIdle(true)
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "wait for callers' connections to end")
 		}
@@ -148,12 +148,12 @@
 
 // waitUntilTaken waits a moment until no connection waits to be taken, and reports whether none does: those in the kernel's queue are
 // reset when listening ends, although their callers may have sent their requests.
-func (listener *Listener) waitUntilTaken(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, takenMost.Duration())
+func (listener *Listener) waitForAcceptQueue(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, acceptQueueTimeout.Duration())
 	defer cancel()
-	ticker := time.NewTicker(takenLook.Duration())
+	ticker := time.NewTicker(acceptQueuePollInterval.Duration())
 	defer ticker.Stop()
-	for listener.hasWaiting() {
+	for listener.hasQueuedConnection() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -164,7 +164,7 @@
 }
 
 // hasWaiting reports whether a connection waits to be taken.
-func (listener *Listener) hasWaiting() bool {
+func (listener *Listener) hasQueuedConnection() bool {
 	raw, err := listener.SyscallConn()
 	if err != nil {
 		return false
@@ -176,12 +176,12 @@
 	return err == nil && count > 0
 }
 
-func (listener *Listener) retire(newAsWell bool) {
+func (listener *Listener) closeWhenIdle(includeNew bool) {
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
 	listener.draining = true
 	for guarded := range listener.open {
-		guarded.retire(newAsWell)
+		guarded.closeWhenIdle(includeNew)
 	}
-	listener.checkEnded()
+	listener.checkDrained()
 }
--- a/internal/caller/pause_test.go
+++ b/internal/caller/pause_test.go
@@ -33,7 +33,7 @@
 		{"before the rest", http.DefaultClient, "second"},
 		{"before the end", http.DefaultClient, ""},
 	}
-	shorten(t)
+	shortenMaxStall(t)
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
@@ -55,17 +55,17 @@
 }
 
 // shorten makes the longest pause of a caller short.
-func shorten(t *testing.T) {
-	before := fixtureStall
-	fixtureStall = clock.Second
-	t.Cleanup(func() { fixtureStall = before })
+func shortenMaxStall(t *testing.T) {
+	before := fixtureMaxStall
+	fixtureMaxStall = clock.Second
+	t.Cleanup(func() { fixtureMaxStall = before })
 }
 
 // pause lasts for twice as long as a caller may pause.
 func pause(request *http.Request) {
 	select {
 	case <-request.Context().Done():
-	case <-time.After((2 * fixtureStall).Duration()):
+	case <-time.After((2 * fixtureMaxStall).Duration()):
 	}
 }
 
@@ -90,7 +90,7 @@
 		during = writer.deadline
 		return len(buffer), nil
 	})
-	stream := &callerBody{reader: reader, control: http.NewResponseController(writer), stallMost: clock.Minute}
+	stream := &callerBody{reader: reader, controller: http.NewResponseController(writer), maxStall: clock.Minute}
 	count, err := stream.Read(make([]byte, 8))
 	require.NoError(t, err)
 	require.Equal(t, 8, count)
--- a/internal/caller/refusal_test.go
+++ b/internal/caller/refusal_test.go
@@ -44,10 +44,10 @@
 			if testCase.timeout != "" {
 				request.Header.Set(outcome.HeaderTimeout, testCase.timeout)
 			}
-			answer := fixture.send(t, request)
-			require.Equal(t, testCase.status, answer.status)
-			require.Equal(t, outcome.NotRun, answer.outcome)
-			require.Equal(t, testCase.reason, answer.reason)
+			response := fixture.send(t, request)
+			require.Equal(t, testCase.status, response.status)
+			require.Equal(t, outcome.NotRun, response.outcome)
+			require.Equal(t, testCase.reason, response.reason)
 		})
 	}
 }
@@ -56,11 +56,11 @@
 func TestNoSettings(t *testing.T) {
 	fixture := newFixture(t, fixtureService())
 	fixture.table = nil
-	answer := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
-	require.Equal(t, http.StatusServiceUnavailable, answer.status)
-	require.Equal(t, outcome.NotRun, answer.outcome)
-	require.Equal(t, outcome.ReasonNoSettings, answer.reason)
-	require.Equal(t, "1", answer.header.Get("Retry-After"))
+	response := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
+	require.Equal(t, http.StatusServiceUnavailable, response.status)
+	require.Equal(t, outcome.NotRun, response.outcome)
+	require.Equal(t, outcome.ReasonNoSettings, response.reason)
+	require.Equal(t, "1", response.header.Get("Retry-After"))
 }
 
 // All places are taken and as many requests wait as may. The next one is refused at once, and a payment takes the
@@ -75,7 +75,7 @@
 	serviceSettings := fixtureService()
 	serviceSettings.Queue.Length = 1
 	fixture := newFixture(t, serviceSettings, backend)
-	results := make(chan answer, 10)
+	results := make(chan response, 10)
 	begin := func(method, path string) {
 		request := fixture.newRequest(t, method, path, http.NoBody)
 		go func() {
@@ -110,7 +110,7 @@
 	require.Eventually(t, func() bool {
 		_, waiting := booking.Dispatcher.State()
 		return waiting == count
-	}, waitMost, waitTick)
+	}, maxWait, pollInterval)
 }
 
 // Two servers that disagree about where a request ends can be made to take one caller's bytes for another's request.
--- a/internal/caller/answer.go
+++ b/internal/caller/response.go
@@ -16,9 +16,9 @@
 // Buffers through which answers pass. The large one is for answers known to be long, which pass faster through it. Small answers don't use it, since
 // thousands of them at once would take hundreds of megabytes.
 const (
-	copyBytes      = 32 << 10
-	copyBytesLarge = 256 << 10
-	largeAnswer    = 1 << 20
+	copyBytes          = 32 << 10
+	copyBytesLarge     = 256 << 10
+	largeResponseBytes = 1 << 20
 )
 
 var (
@@ -49,7 +49,7 @@
 
 // buffersFor returns the buffers for an answer of the given length, -1 when it is not known.
 func buffersFor(length int64) *bufferPool {
-	if length >= largeAnswer {
+	if length >= largeResponseBytes {
 		return copyBuffersLarge
 	}
 	return copyBuffers
@@ -62,18 +62,18 @@
 
 // answer passes a backend server's answer on. When it breaks off, the caller's connection is broken as well: an answer
 // that ends cleanly would be taken for the whole one.
-func (call *call) answer(attempt attempt) {
+func (call *call) forwardResponse(attempt attempt) {
 	defer attempt.discard()
 	exchange := attempt.exchange
 	status := exchange.Response.StatusCode
-	call.startAnswer(exchange)
-	call.place.Size = call.body.length() + len(attempt.buffered)
+	call.writeResponseHeader(exchange)
+	call.permit.Size = call.body.bytesRead() + len(attempt.buffered)
 	if exchange.Whole() {
 		// The answer is here in full, so its server is free again.
 		exchange.Close()
 		call.release(resultOf(status, nil))
 	}
-	err := call.copyAnswer(&attempt)
+	err := call.copyResponseBody(&attempt)
 	exchange.Close()
 	call.release(resultOf(status, err))
 	if err == nil {
@@ -81,13 +81,13 @@
 		return
 	}
 	reason := outcome.ReasonCutWithinAnswer
-	if leaves(call.request.Context()) {
+	if endedByDrain(call.request.Context()) {
 		reason = outcome.ReasonLeaving
 	} else if errors.Is(err, errCallerWrite) || call.request.Context().Err() != nil {
 		reason = outcome.ReasonCallerGone
 	}
 	call.record(status, outcome.Unknown, reason, err)
-	breakConnection(call.request)
+	resetConnection(call.request)
 	panic(http.ErrAbortHandler)
 }
 
@@ -104,38 +104,38 @@
 }
 
 // startAnswer writes the answer's header.
-func (call *call) startAnswer(exchange *backendserver.Exchange) {
+func (call *call) writeResponseHeader(exchange *backendserver.Exchange) {
 	response := exchange.Response
 	removeHopByHop(response.Header)
 	dialect := call.handler.options.Dialect
-	removeOwn(response.Header, dialect.IsReservedHeader)
+	removeReserved(response.Header, dialect.IsReservedHeader)
 	header := call.writer.Header()
 	for name, values := range response.Header {
 		header[name] = values
 	}
-	call.setOwnHeaders(header, outcome.Answered, outcome.ReasonServer)
+	call.setResponseHeaders(header, outcome.Answered, outcome.ReasonServer)
 	for name := range response.Trailer {
 		header.Add("Trailer", name)
 	}
 	if dialect.DiagnosticHeaders {
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
 	}
-	if _, given := header["Date"]; !given {
+	if _, present := header["Date"]; !present {
 		// The library would add one, as if the answer had been made here.
 		header["Date"] = nil
 	}
-	call.armWrite()
+	call.setWriteDeadline()
 	call.writer.WriteHeader(response.StatusCode)
-	added := call.now().Since(call.started) - call.queued - call.sending
-	call.route.Class.Metrics.Added.Record(added)
+	addedLatency := call.now().Since(call.started) - call.queueTime - call.attemptTime
+	call.route.Class.Metrics.Added.Record(addedLatency)
 }
 
 // copyAnswer passes the body on as it arrives. An answer without a known length is flushed after each read, since it
 // may be a stream that somebody watches.
-func (call *call) copyAnswer(attempt *attempt) error {
+func (call *call) copyResponseBody(attempt *attempt) error {
 	exchange := attempt.exchange
 	if len(attempt.buffered) > 0 {
-		call.armWrite()
+		call.setWriteDeadline()
 		if _, err := call.writer.Write(attempt.buffered); err != nil {
 			return errors.Join(errCallerWrite, err)
 		}
@@ -150,42 +150,42 @@
 	flushEach := exchange.Response.ContentLength < 0
 	for {
 		// A multiplexed request would be cut off when the time for a write is over although none is under way.
-		call.disarmWrite()
-		count, readError := exchange.Read(*pooled)
+		call.clearWriteDeadline()
+		count, readErr := exchange.Read(*pooled)
 		if count > 0 {
-			call.armWrite()
+			call.setWriteDeadline()
 			if _, err := call.writer.Write((*pooled)[:count]); err != nil {
 				return errors.Join(errCallerWrite, err)
 			}
 			if flushEach {
 				// An error shows again at the next write.
-				_ = call.control.Flush()
+				_ = call.controller.Flush()
 			}
 		}
-		if readError == io.EOF { //nolint:errorlint // io.Reader returns it bare.
+		if readErr == io.EOF { //nolint:errorlint // io.Reader returns it bare.
 			// The library writes what is left, such as the mark of the end.
-			call.armWrite()
+			call.setWriteDeadline()
 			call.copyTrailers(exchange.Response)
 			return nil
 		}
-		if readError != nil {
-			return errors.Join(errServerRead, readError)
+		if readErr != nil {
+			return errors.Join(errServerRead, readErr)
 		}
 	}
 }
 
 // readAhead reads the answer's body up to the given length. An answer that breaks off within it has not been passed on
 // yet, so its request can be sent again.
-func (attempt *attempt) readAhead(most int64) error {
+func (attempt *attempt) bufferBody(maxBytes int64) error {
 	length := attempt.exchange.Response.ContentLength
-	if length > most {
+	if length > maxBytes {
 		return nil
 	}
 	var body bytes.Buffer
 	if length > 0 {
 		body.Grow(int(length) + bytes.MinRead)
 	}
-	_, err := io.CopyN(&body, attempt.exchange, most+1)
+	_, err := io.CopyN(&body, attempt.exchange, maxBytes+1)
 	attempt.buffered = body.Bytes()
 	if err == nil || err == io.EOF { //nolint:errorlint // io.CopyN returns it bare.
 		return nil
@@ -206,7 +206,7 @@
 
 // breakConnection makes the end of the caller's connection a reset. An answer that is delimited by the end of its
 // connection, as HTTP/1.0 has it, would otherwise look whole.
-func breakConnection(request *http.Request) {
+func resetConnection(request *http.Request) {
 	connection, found := request.Context().Value(connectionKey{}).(*guardedConnection)
 	if found && request.ProtoMajor == 1 {
 		// It is about to be closed in any case.
--- a/internal/caller/answer_test.go
+++ b/internal/caller/response_test.go
@@ -15,7 +15,7 @@
 )
 
 // cutAnswers are answers that break off before their end, as they pass over the wire.
-var cutAnswers = []struct{ name, text string }{
+var truncatedResponses = []struct{ name, text string }{
 	{"within a known length", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"},
 	{"within a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n64\r\nhalf of it"},
 	{"between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
@@ -33,12 +33,12 @@
 		{"HTTP/2", readOverHTTP2},
 		{"HTTP/1.0", readOverHTTP10},
 	}
-	for _, cut := range cutAnswers {
+	for _, truncated := range truncatedResponses {
 		for _, protocol := range protocols {
-			t.Run(cut.name+" over "+protocol.name, func(t *testing.T) {
+			t.Run(truncated.name+" over "+protocol.name, func(t *testing.T) {
 				backend := startRawBackend(t, func(connection net.Conn) {
 					_, _ = http.ReadRequest(bufio.NewReader(connection))
-					_, _ = io.WriteString(connection, cut.text)
+					_, _ = io.WriteString(connection, truncated.text)
 					connection.Close()
 				})
 				fixture := newFixture(t, fixtureService(), backend)
@@ -109,12 +109,12 @@
 	request.Header.Set("Upgrade", "websocket")
 	request.Header.Set("X-Kept", "yes")
 	request.Header.Set(outcome.HeaderOutcome, "answered")
-	answer := fixture.send(t, request)
-	require.Equal(t, http.StatusFound, answer.status, "a redirect is passed on, not followed")
-	require.Equal(t, outcome.Answered, answer.outcome)
-	require.Equal(t, "yes", answer.header.Get("X-Kept"))
-	require.Empty(t, answer.header.Get("X-Hop"))
-	require.Empty(t, answer.header.Get("Keep-Alive"))
+	response := fixture.send(t, request)
+	require.Equal(t, http.StatusFound, response.status, "a redirect is passed on, not followed")
+	require.Equal(t, outcome.Answered, response.outcome)
+	require.Equal(t, "yes", response.header.Get("X-Kept"))
+	require.Empty(t, response.header.Get("X-Hop"))
+	require.Empty(t, response.header.Get("Keep-Alive"))
 	require.Equal(t, "yes", seen.Get("X-Kept"))
 	for _, name := range []string{"X-Mine", "Proxy-Authorization", "Upgrade", "Connection", outcome.HeaderOutcome} {
 		require.Empty(t, seen.Get(name), name)
@@ -144,10 +144,10 @@
 			})
 			fixture := newFixture(t, fixtureService(), backend)
 			for range 3 {
-				answer := fixture.send(t, fixture.newRequest(t, testCase.method, "/slots", http.NoBody))
-				require.Equal(t, testCase.status, answer.status)
-				require.Equal(t, testCase.length, answer.header.Get("Content-Length"))
-				require.Empty(t, answer.body)
+				response := fixture.send(t, fixture.newRequest(t, testCase.method, "/slots", http.NoBody))
+				require.Equal(t, testCase.status, response.status)
+				require.Equal(t, testCase.length, response.header.Get("Content-Length"))
+				require.Empty(t, response.body)
 			}
 		})
 	}
@@ -224,8 +224,8 @@
 		_, _ = io.WriteString(writer, "second")
 		writer.Close()
 	}()
-	answer := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", reader))
-	require.Equal(t, "first second", answer.body)
+	response := fixture.send(t, fixture.newRequest(t, http.MethodPost, "/payments", reader))
+	require.Equal(t, "first second", response.body)
 }
 
 // Many callers at once, whose requests end in any order, each get the answer to their own.
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -25,8 +25,8 @@
 		ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, connection)
 		},
-		ConnState:   noteState,
-		BaseContext: func(net.Listener) context.Context { return handler.running },
+		ConnState:   handleConnState,
+		BaseContext: func(net.Listener) context.Context { return handler.baseContext },
 		ErrorLog:    log.New(errorCounter{events: events}, "", 0),
 	}
 }
--- a/internal/caller/stalled_test.go
+++ b/internal/caller/stalled_test.go
@@ -24,8 +24,8 @@
 		end     func(*Handler)
 		reason  outcome.Reason
 	}{
-		{"in chunks, the instance leaves", "Transfer-Encoding: chunked", clock.Minute, func(handler *Handler) { handler.endAll(errLeaving) }, outcome.ReasonLeaving},
-		{"long, the instance leaves", "Content-Length: 100000", clock.Minute, func(handler *Handler) { handler.endAll(errLeaving) }, outcome.ReasonLeaving},
+		{"in chunks, the instance leaves", "Transfer-Encoding: chunked", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
+		{"long, the instance leaves", "Content-Length: 100000", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
 		{"in chunks, its time is over", "Transfer-Encoding: chunked", 300 * clock.Millisecond, func(*Handler) {}, outcome.ReasonDeadline},
 	}
 	for _, testCase := range cases {
--- a/internal/caller/wait_test.go
+++ b/internal/caller/wait_test.go
@@ -4,8 +4,8 @@
 
 // Bounds of waiting for another goroutine; only a broken test reaches the first.
 const (
-	waitMost = time.Minute
-	waitTick = time.Millisecond
+	maxWait      = time.Minute
+	pollInterval = time.Millisecond
 )
 
 // sleepInBubble lets the clock of a synctest bubble run for a second.
