--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -17,26 +17,26 @@
 	DataCentre settings.DataCentreName `json:"dataCentre"`
 }
 
-// Addresses is the answer to which instances a caller should use for a service.
+// Addresses is the response that lists the instances that a caller may use for a service.
 type Addresses struct {
 	Service   settings.ServiceName `json:"service"`
 	Addresses []Address            `json:"addresses"`
 	// TTL is how long the addresses may be cached.
 	TTL clock.Milliseconds `json:"keep"`
-	// Revision is the site's settings that the answer comes from.
+	// Revision is the revision of the site's settings that the addresses come from.
 	Revision settings.Revision `json:"revision"`
 }
 
-// refused is the answer when there are no addresses to give.
+// addressesError is the response if there are no addresses to return.
 type addressesError struct {
 	Error string `json:"error"`
 }
 
-// serveAddresses answers GET AddressesPath?service=NAME.
+// serveAddresses handles GET AddressesPath?service=NAME.
 func (handler *Handler) serveAddresses(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet {
 		writer.Header().Set("Allow", http.MethodGet)
-		handler.respondAddressesError(writer, http.StatusMethodNotAllowed, "only GET is answered here")
+		handler.respondAddressesError(writer, http.StatusMethodNotAllowed, "only GET is supported")
 		return
 	}
 	table := handler.options.Table()
@@ -47,7 +47,7 @@
 	name := settings.ServiceName(request.URL.Query().Get("service"))
 	service, known := table.Service(name)
 	if !known {
-		handler.respondAddressesError(writer, http.StatusNotFound, "no service "+strconv.Quote(string(name)))
+		handler.respondAddressesError(writer, http.StatusNotFound, "unknown service "+strconv.Quote(string(name)))
 		return
 	}
 	addresses := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
@@ -73,6 +73,6 @@
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// A caller that is gone can't be told.
+	// Encoding fails only if the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -11,31 +11,31 @@
 	"github.com/jaywheel/jaywheel/internal/trace"
 )
 
-// attempt is what came of sending the request to one backend server.
+// attempt is the result of sending the request to one backend server.
 type attempt struct {
 	permit   service.Place
 	exchange *backendserver.Exchange
-	// buffered is the answer's body, as far as it was read ahead.
+	// buffered is the part of the response body that has been read but not forwarded.
 	buffered []byte
 	err      error
-	// notRun says that the request truly did not run.
+	// notRun means that the request certainly did not run.
 	notRun bool
-	// free says that sending again costs the retry budget nothing: an idle connection had died unnoticed, which says
-	// nothing about the server.
+	// budgetExempt means that a retry is not charged to the retry budget: the request failed on an idle connection that had
+	// been closed unnoticed, which does not indicate a fault of the server.
 	budgetExempt bool
-	// reached says that a connection had the request.
+	// connected means that a connection was obtained for the request.
 	connected bool
-	// cancel ends a context that belongs to this attempt alone; it may be nil.
+	// cancel cancels the attempt's own context; it is nil if the attempt has none.
 	cancel context.CancelFunc
 	trace  trace.Attempt
 }
 
-// answered reports whether the attempt brought an answer that may be passed on.
+// answered reports whether the attempt has a response that may be forwarded.
 func (attempt *attempt) answered() bool {
 	return attempt.exchange != nil && attempt.err == nil && !attempt.notRun
 }
 
-// note keeps what an attempt tells of the request.
+// recordAttempt updates the call and the class's metrics with the attempt's result.
 func (call *call) recordAttempt(attempt *attempt) {
 	call.lastTarget = attempt.permit.Target
 	call.body.streamUsed = call.body.streamUsed || attempt.connected
@@ -45,8 +45,8 @@
 	call.attempts = append(call.attempts, attempt.trace)
 }
 
-// send sends the request to the backend server of a place, once, and judges what comes back. It leaves the call as it
-// is, so that two may run at once. The place is given back unless there is an answer to pass on.
+// send sends the request once to the permit's backend server and evaluates the result. It does not modify the call, so
+// that two sends may run concurrently. It releases the permit unless there is a response to forward.
 func (call *call) send(ctx context.Context, permit service.Place, request *http.Request) attempt {
 	target := permit.Target
 	freshOnly := !call.route.Class.Settings.Idempotent
@@ -67,13 +67,13 @@
 	return attempt
 }
 
-// neverConnected reports whether an attempt failed before any connection had the request.
+// isConnectError reports whether an attempt failed before a connection was obtained for the request.
 func isConnectError(err error) bool {
 	var failure *backendserver.Error
 	return errors.As(err, &failure) && failure.Step == backendserver.StepConnect
 }
 
-// judgeError learns from a failed attempt, and gives the place back.
+// handleError classifies a failed attempt and releases its permit.
 func (call *call) handleError(ctx context.Context, attempt *attempt) {
 	var failure *backendserver.Error
 	reused := errors.As(attempt.err, &failure) && failure.Reused
@@ -88,8 +88,8 @@
 	attempt.permit.Release(call.failureResult(ctx, attempt))
 }
 
-// blame tells whether a failed attempt counts against the backend server. One that ended because its caller went away,
-// or whose body the caller did not send, does not.
+// failureResult returns Failed if a failed attempt counts against the backend server, otherwise Cancelled. An attempt that
+// ended because the caller disconnected or did not send its body does not count.
 func (call *call) failureResult(ctx context.Context, attempt *attempt) service.Result {
 	switch {
 	case attempt.budgetExempt,
@@ -103,8 +103,8 @@
 	}
 }
 
-// judgeAnswer learns from an answer's header, and reads the body ahead where the dialect asks for it. The place is given
-// back when the answer has been passed on, or at once when the server refused.
+// handleResponse evaluates a response's header, and buffers its body if the dialect requires it. The permit is released here
+// if the server refused the request, otherwise when the response has been forwarded.
 func (call *call) handleResponse(attempt *attempt) {
 	response := attempt.exchange.Response
 	dialect := call.handler.options.Dialect
@@ -132,7 +132,7 @@
 	}
 }
 
-// discard closes an answer that is not passed on, or has been.
+// discard closes the response, forwarded or not, and cancels the attempt's own context. The attempt may be nil.
 func (attempt *attempt) discard() {
 	if attempt == nil {
 		return
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -15,37 +15,37 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// Bodies that are read before a backend server is chosen. They can be sent again when a server says that it did not run the request,
-// and a caller that sends slowly holds no place meanwhile. All others are streamed.
+// Limits of buffered bodies, which are read before a backend server is chosen. They can be sent again if a server states that
+// it did not run the request, and a caller that sends its body slowly holds no permit meanwhile. All other bodies are streamed.
 const (
-	// replayBodyMost is the largest such body, in bytes, unless the dialect says otherwise.
+	// alwaysBufferedBytes is the length up to which bodies are buffered whatever the dialect's MaxReplayBodyBytes is.
 	alwaysBufferedBytes = 16 << 10
-	// heldBodiesMost bounds the bytes of all larger ones that are held at once: an instance has a few hundred megabytes, and
-	// many callers with batches must not take them.
+	// maxBufferedBodyBytes bounds the total length of all longer bodies that are buffered at once: an instance has a few hundred
+	// megabytes of memory, which many callers that upload batches must not exhaust.
 	maxBufferedBodyBytes = 32 << 20
 )
 
 var (
-	errBodyTooLarge = errors.New("the body is larger than the class allows")
-	errBodyRead     = errors.New("the body could not be read from the caller")
+	errBodyTooLarge = errors.New("request body is longer than its class allows")
+	errBodyRead     = errors.New("could not read request body from caller")
 )
 
-// body is a request's body as it is sent to backend servers.
+// body is a request's body, either buffered or streamed, as it is sent to backend servers.
 type body struct {
-	// small is the whole body, when it is small.
+	// buffered is the whole body if it is buffered.
 	buffered []byte
-	// smallRead says that it has been read.
+	// bufferComplete means that buffered has been read completely.
 	bufferComplete bool
-	// held are the bytes that count towards those of all bodies held at once.
+	// reservedBytes is the length counted towards maxBufferedBodyBytes.
 	reservedBytes int64
-	// stream is the rest, when it is not; it can be read once.
+	// stream is the body if it is streamed; it can be read only once.
 	stream  *callerBody
 	present bool
-	// handedOver says that a connection has been given the stream.
+	// streamUsed means that a connection has been given the stream.
 	streamUsed bool
 }
 
-// prepare reads a small body, and bounds a large one.
+// prepare buffers or streams the body, and rejects one that is longer than its class allows.
 func (body *body) prepare(call *call) *errorResponse {
 	request := call.request
 	maxBytes := int64(call.route.Class.Settings.BodyMost)
@@ -58,12 +58,12 @@
 	}
 	limited := http.MaxBytesReader(call.writer, request.Body, maxBytes)
 	stream := &callerBody{reader: limited, controller: call.controller, maxStall: call.handler.options.MaxStall}
-	// A caller that waits for "100 Continue" is asked for its body only once a place is there.
+	// A caller that waits for "100 Continue" is asked for its body only after a permit has been acquired.
 	if request.ContentLength < 0 || request.Header.Get("Expect") != "" || !body.reserveBuffer(call) {
 		body.stream = stream
 		return nil
 	}
-	// Whoever sends slowly is refused when the time of the request is over, and not only when a single read takes too long.
+	// A body that arrives slowly is rejected at the request's deadline, not only if a single read takes too long.
 	stream.readDeadline = time.Now().Add(call.deadline.Since(call.now()).Duration())
 	body.buffered = make([]byte, request.ContentLength)
 	defer context.AfterFunc(request.Context(), stream.expire)()
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// hold reports whether the body is to be read whole, and counts it if it is one of the larger ones.
+// reserveBuffer reports whether the body is to be buffered. Bodies longer than alwaysBufferedBytes are counted towards
+// maxBufferedBodyBytes.
 func (body *body) reserveBuffer(call *call) bool {
 	length := call.request.ContentLength
 	if length <= alwaysBufferedBytes {
@@ -98,13 +99,13 @@
 	return true
 }
 
-// replayable reports whether the body can be sent once more. A stream that has been handed to a connection can't be,
-// even when nothing was read from it: the connection may still be about to read.
+// replayable reports whether the body can be sent again. A stream that a connection has been given cannot, even if nothing
+// has been read from it: the connection may still read from it.
 func (body *body) replayable() bool {
 	return body.stream == nil || !body.streamUsed
 }
 
-// reader returns the body for one attempt, and its length, -1 when it is not known.
+// reader returns the body for one attempt, and its length in bytes, -1 if it is unknown.
 func (body *body) reader(length int64) (io.ReadCloser, int64) {
 	switch {
 	case !body.present:
@@ -116,7 +117,7 @@
 	}
 }
 
-// length is the number of bytes that were read of the body so far.
+// bytesRead returns the number of bytes of the body that have been read from the caller so far.
 func (body *body) bytesRead() int {
 	if body.stream != nil {
 		return int(body.stream.bytesRead.Load())
@@ -124,7 +125,7 @@
 	return len(body.buffered)
 }
 
-// failed returns what went wrong on the caller's side of a streamed body, if anything did.
+// readError returns the error of reading a streamed body from the caller, if any.
 func (body *body) readError() error {
 	if body.stream == nil {
 		return nil
@@ -132,8 +133,8 @@
 	return body.stream.readError()
 }
 
-// watch ends the reading of a stream with the context, until stop is called. A connection to a backend server gives a request up only when
-// it has done with its body, and the caller may have stalled.
+// expireOnDone aborts reads of the stream when the context is done, until stop is called. A connection to a backend server ends
+// a cancelled request only when it has finished with the body, and the caller may have stalled.
 func (body *body) expireOnDone(ctx context.Context) (stop func()) {
 	if body.stream == nil {
 		return func() {}
@@ -142,7 +143,7 @@
 	return func() { stopWatching() }
 }
 
-// finish ends every later read of the stream.
+// finish makes all later reads of the stream fail, and frees the body's share of maxBufferedBodyBytes.
 func (body *body) finish(handler *Handler) {
 	handler.bufferedBodyBytes.Add(-body.reservedBytes)
 	if body.stream != nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// bodyUnread reports whether a part of the body has not been read.
+// hasUnreadBody reports whether a part of the body has not been read.
 func (call *call) hasUnreadBody() bool {
 	switch {
 	case call.request.Body == nil || call.request.Body == http.NoBody:
@@ -162,8 +163,8 @@
 	}
 }
 
-// armRest gives what is left of the body its time. Once the request has ended, the server reads the rest to come to the
-// next one, and would wait for it without end.
+// setUnreadBodyDeadline limits the read of the rest of the body to MaxStall. When the request has ended, net/http reads the
+// rest to reach the next request, and would otherwise wait for it indefinitely.
 func (call *call) setUnreadBodyDeadline() {
 	if !call.hasUnreadBody() {
 		return
@@ -171,19 +172,19 @@
 	_ = call.controller.SetReadDeadline(time.Now().Add(call.handler.options.MaxStall.Duration()))
 }
 
-// callerBody reads a body from the caller and gives each read its time, so that a caller which sends a byte a minute
-// does not hold a place on a backend server. A connection to a backend server may go on reading after the request has
-// ended; the mutex keeps it from setting a deadline that would then belong to the caller's next request.
+// callerBody reads a body from the caller with a deadline for each read, so that a caller that sends a byte a minute does not
+// hold a permit of a backend server. A connection to a backend server may go on reading after the request has ended; the mutex
+// keeps such a read from setting a deadline that would apply to the caller's next request.
 type callerBody struct {
 	reader     io.Reader
 	controller *http.ResponseController
 	maxStall   clock.Milliseconds
-	// until bounds all reads together; the zero time stands for no bound.
+	// readDeadline is the deadline of all reads together; the zero time means none.
 	readDeadline time.Time
-	// lastRead says that the read under way may last only as long as all together.
+	// cappedByReadDeadline means that the deadline of the latest read is readDeadline, which is earlier than maxStall from then.
 	cappedByReadDeadline bool
 
-	// whole says that the body was read to its end, count how many bytes were read.
+	// complete means that the body has been read to its end; bytesRead is the number of bytes read.
 	complete  atomic.Bool
 	bytesRead atomic.Int64
 
@@ -207,20 +208,20 @@
 	callerBody.bytesRead.Add(int64(count))
 	switch err {
 	case nil:
-		// A multiplexed request would lose the rest of its body when the deadline passes although nobody reads.
+		// On HTTP/2, a deadline that passes between reads would discard the rest of the body.
 		callerBody.setDeadline(time.Time{})
 	case io.EOF: //nolint:errorlint // io.Reader returns it bare.
 		callerBody.markComplete()
 	default:
-		// The deadline stays: the server reads what is left of a body before it goes on, and a caller that has stalled
-		// once would hold the connection for ever.
+		// The deadline is kept: net/http reads the rest of the body before the next request, and a caller that has stalled
+		// would otherwise hold the connection indefinitely.
 		callerBody.setError(err)
 	}
 	return count, err
 }
 
-// end notes that the body is whole. The server watches the connection while the answer is made, and would take a deadline for the caller's
-// going away.
+// markComplete marks the body as read to its end and clears the read deadline. While the request is handled, net/http reads from
+// the connection in the background, and would treat a deadline that passes as a disconnect of the caller.
 func (callerBody *callerBody) markComplete() {
 	callerBody.mutex.Lock()
 	defer callerBody.mutex.Unlock()
@@ -231,25 +232,25 @@
 	callerBody.complete.Store(true)
 }
 
-// untilOver reports whether the time for all reads together is over.
+// readDeadlineExceeded reports whether the latest read failed because readDeadline has passed.
 func (callerBody *callerBody) readDeadlineExceeded() bool {
 	return callerBody.cappedByReadDeadline && !time.Now().Before(callerBody.readDeadline)
 }
 
-// setDeadline reports whether the request is still under way.
+// setDeadline sets the deadline of the next read. It reports false, and sets none, if the body has been finished or has expired.
 func (callerBody *callerBody) setDeadline(deadline time.Time) bool {
 	callerBody.mutex.Lock()
 	defer callerBody.mutex.Unlock()
 	if callerBody.finished || callerBody.expired {
 		return false
 	}
-	// Connections that know no deadline, as in tests, are left without one.
+	// Connections that do not support deadlines, as in tests, are left without one.
 	_ = callerBody.controller.SetReadDeadline(deadline)
 	return true
 }
 
-// expire ends the read under way and every later one, unless the body is whole: what is read then is the server's, which would take
-// the deadline for the caller's going away.
+// expire aborts the current read and all later ones, unless the body is complete: then the only reader is net/http, which would
+// treat the deadline as a disconnect of the caller.
 func (callerBody *callerBody) expire() {
 	callerBody.mutex.Lock()
 	defer callerBody.mutex.Unlock()
@@ -278,7 +279,7 @@
 	callerBody.finished = true
 }
 
-// Close implements io.Closer. The server closes the caller's body itself.
+// Close implements io.Closer. It does nothing, since net/http closes the caller's body.
 func (callerBody *callerBody) Close() error {
 	return nil
 }
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -16,7 +16,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// call is one request on its way through the instance. It belongs to the goroutine that serves it.
+// call is the state of one request while the instance handles it. It is owned by the goroutine that serves the request.
 type call struct {
 	handler    *Handler
 	writer     http.ResponseWriter
@@ -28,7 +28,7 @@
 	id       trace.RequestID
 	started  clock.Moment
 	deadline clock.Moment
-	// aim is the moment until which an answer is worth most.
+	// softDeadline is the time until which a response is worth most; it is never later than deadline.
 	softDeadline clock.Moment
 	identity     identity
 	body         body
@@ -36,29 +36,30 @@
 	attempts     []trace.Attempt
 	queueTime    clock.Milliseconds
 	attemptTime  clock.Milliseconds
-	// place is the one held now; Target is nil when there is none.
+	// permit is the permit held now; its Target is nil if none is held.
 	permit service.Place
-	// mustClose says that the caller's connection ends with this request.
+	// mustClose means that the caller's connection is closed after this request.
 	mustClose bool
 }
 
-// ending is how a request ends without a backend server's answer.
+// errorResponse is the instance's own response to a request that no backend server answered.
 type errorResponse struct {
 	status  int
 	outcome outcome.Outcome
 	reason  outcome.Reason
 	cause   error
-	// retryAfter is when the caller may come back; 0 says nothing about it.
+	// retryAfter is the time after which the caller may retry; 0 omits the Retry-After header.
 	retryAfter clock.Milliseconds
 }
 
-// noSettingsComeBack is when a caller may return to an instance that has no settings yet. One that has just started has them
-// 30 ms after it listens, if anybody answers it; a caller who comes back within its time is served then.
+// noSettingsRetryAfter is the retry delay given by an instance that has no settings yet. A newly started instance has its
+// settings 30 ms after it starts to listen, provided that its requests for them are answered, so a caller that retries
+// within its timeout is served.
 const noSettingsRetryAfter = 150 * clock.Millisecond
 
-// serve brings the request to its one end.
+// serve handles the request and ends it exactly once, with a backend server's response or an error response.
 func (call *call) serve() {
-	// A panic on the way, which the server catches, would otherwise leave a place taken for ever.
+	// Without this, a panic, which the HTTP server recovers from, would leak the permit.
 	defer call.release(service.Cancelled)
 	if errorResponse := call.accept(); errorResponse != nil {
 		defer call.setUnreadBodyDeadline()
@@ -78,7 +79,7 @@
 	call.forward(ctx)
 }
 
-// release gives back the place that is held, if one is.
+// release releases the permit held, if any.
 func (call *call) release(result service.Result) {
 	if call.permit.Target == nil {
 		return
@@ -92,7 +93,7 @@
 	return call.handler.options.Clock.Now()
 }
 
-// accept checks the request and finds where it belongs.
+// accept validates, routes and authenticates the request, sets its deadlines and charges it to its team's rate limit.
 func (call *call) accept() *errorResponse {
 	if call.table == nil {
 		return &errorResponse{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: noSettingsRetryAfter}
@@ -133,18 +134,18 @@
 	return call.chargeQuota()
 }
 
-// refusal ends a request that was never sent anywhere.
+// newRejection returns the error response for a request that was not sent to any backend server.
 func newRejection(status int, reason outcome.Reason, cause error) *errorResponse {
 	return &errorResponse{status: status, outcome: outcome.NotRun, reason: reason, cause: cause}
 }
 
 var (
-	errDotSegment = errors.New("the path has a segment that goes up or stays")
-	errTimeout    = errors.New("the time left is no whole number of milliseconds above 0")
+	errDotSegment = errors.New("path contains a \".\" or \"..\" segment")
+	errTimeout    = errors.New("timeout is not a positive whole number of milliseconds")
 )
 
-// hasDotSegment reports whether a backend server could read the path as another than the one by which the class was
-// chosen: a payment would be taken for something that may run twice.
+// hasDotSegment reports whether the path has a "." or ".." segment. A backend server might resolve it to another path than
+// the one that determined the class, so that a payment would be treated as idempotent and might run twice.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		if segment == "." || segment == ".." {
@@ -154,7 +155,7 @@
 	return false
 }
 
-// timeLeft returns the time that the caller will wait: what it says, or else what its class allows.
+// callerTimeout returns the timeout that the request states, or maxTimeout if it states none.
 func (call *call) callerTimeout(maxTimeout clock.Milliseconds) (clock.Milliseconds, error) {
 	name := call.handler.options.Dialect.TimeoutHeader
 	value := call.request.Header.Get(name)
@@ -168,7 +169,7 @@
 	return clock.Milliseconds(milliseconds), nil
 }
 
-// end tells the caller how the request ended, when no backend server's answer does.
+// respondWithError sends an error response to the caller. An empty outcome stands for NotRun.
 func (call *call) respondWithError(errorResponse errorResponse) {
 	if errorResponse.outcome == "" {
 		errorResponse.outcome = outcome.NotRun
@@ -177,7 +178,7 @@
 		call.refundQuota()
 	}
 	header := call.writer.Header()
-	// Unless the connection ends with it, the answer would be held back until the rest of the body has come.
+	// If the connection stayed open, net/http would hold the response back until the rest of the body has arrived.
 	call.mustClose = call.mustClose || call.hasUnreadBody()
 	call.setResponseHeaders(header, errorResponse.outcome, errorResponse.reason)
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -189,13 +190,13 @@
 	call.setWriteDeadline()
 	call.writer.WriteHeader(errorResponse.status)
 	if call.request.Method != http.MethodHead {
-		// A caller that is gone can't be told.
+		// The write fails only if the caller has disconnected.
 		_, _ = call.writer.Write([]byte(text))
 	}
 	call.record(errorResponse.status, errorResponse.outcome, errorResponse.reason, errorResponse.cause)
 }
 
-// wholeSeconds rounds up, since Retry-After has no finer unit.
+// ceilSeconds rounds up to whole seconds, the unit of Retry-After.
 func ceilSeconds(duration clock.Milliseconds) int {
 	return int((duration + clock.Second - 1) / clock.Second)
 }
@@ -212,19 +213,19 @@
 	}
 }
 
-// armWrite gives the next write to the caller its time. A caller that stops reading would otherwise hold a place on a
-// backend server for as long as it likes.
+// setWriteDeadline limits the next write to the caller to MaxStall. A caller that stops reading would otherwise hold a
+// permit of a backend server indefinitely.
 func (call *call) setWriteDeadline() {
-	// Writers that know no deadline, as in tests, are left without one.
+	// Writers that do not support deadlines, as in tests, are left without one.
 	_ = call.controller.SetWriteDeadline(time.Now().Add(call.handler.options.MaxStall.Duration()))
 }
 
-// disarmWrite ends the time that armWrite has given.
+// clearWriteDeadline removes the deadline that setWriteDeadline has set.
 func (call *call) clearWriteDeadline() {
 	_ = call.controller.SetWriteDeadline(time.Time{})
 }
 
-// record counts the request and keeps its story.
+// record stores the request's trace and updates the metrics.
 func (call *call) record(status int, result outcome.Outcome, reason outcome.Reason, cause error) {
 	elapsed := call.now().Since(call.started)
 	requestTrace := trace.Request{
@@ -253,7 +254,7 @@
 	call.recordMetrics(elapsed, result, reason)
 }
 
-// tell keeps the request's story and hands it to whoever writes it down.
+// storeTrace adds the trace to the ring and passes it to OnRequestDone.
 func (call *call) storeTrace(requestTrace *trace.Request) {
 	call.handler.options.Traces.Add(*requestTrace)
 	if onRequestDone := call.handler.options.OnRequestDone; onRequestDone != nil {
--- a/internal/caller/connection.go
+++ b/internal/caller/connection.go
@@ -10,18 +10,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// guardedConnection is a caller's connection under a headGuard. One that is retired ends where it would wait for a request; a request
-// that has been read is handled all the same.
+// guardedConnection is a caller's connection whose request heads are inspected by a headGuard. While it is closing, it is closed
+// as soon as it would wait for a request; a request that has been read is still handled.
 type guardedConnection struct {
 	*net.TCPConn
 	guard headGuard
-	// forget takes the connection out of those that its listener waits for, release makes room for another one.
+	// untrack removes the connection from those that its listener waits for; releaseToken lets the listener accept another one.
 	untrack, releaseToken func()
-	// unfinished is called when the connection ends within a request that was never handled.
+	// onUnfinished is called when the connection is closed within a request that was never handled.
 	onUnfinished func()
-	// pending says that bytes have arrived which belong to no handled request.
+	// unhandledBytes means that bytes have been read that do not belong to a handled request.
 	unhandledBytes atomic.Bool
-	// multiplexed says that it carries several requests at once.
+	// multiplexed means that the connection carries several requests at once (HTTP/2).
 	multiplexed atomic.Bool
 
 	mutex   sync.Mutex
@@ -29,7 +29,7 @@
 	closing bool
 }
 
-// begin notes that a request is being handled.
+// beginRequest records that a request is being handled.
 func (guardedConnection *guardedConnection) beginRequest(request *http.Request) {
 	guardedConnection.unhandledBytes.Store(false)
 	if request.ProtoMajor > 1 {
@@ -37,14 +37,15 @@
 	}
 }
 
-// multiplex notes that the connection carries several requests at once; the server ends it, not its listener.
+// markMultiplexed records that the connection carries several requests at once. Such connections are closed by the HTTP server,
+// not by the listener.
 func (guardedConnection *guardedConnection) markMultiplexed() {
 	if !guardedConnection.multiplexed.Swap(true) {
 		guardedConnection.untrack()
 	}
 }
 
-// finish notes that a request has been handled; the bytes of its body belonged to it.
+// endRequest records that a request has been handled. The bytes of its body that have been read belong to it.
 func (guardedConnection *guardedConnection) endRequest() {
 	guardedConnection.unhandledBytes.Store(false)
 }
@@ -57,7 +58,7 @@
 		guardedConnection.unhandledBytes.Store(true)
 	}
 	if guardedConnection.guard.sawPreface {
-		// A request may never come on it.
+		// The connection may never carry a request, which would otherwise mark it.
 		guardedConnection.markMultiplexed()
 	}
 	return count, err
@@ -73,15 +74,16 @@
 	return guardedConnection.TCPConn.SetReadDeadline(deadline)
 }
 
-// longAgo is a deadline that ends a read at once.
+// pastDeadline is a deadline that makes reads fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// waits reports whether the connection waits for a request of which nothing has come.
+// awaitsRequest reports whether the connection waits for a request of which no byte has arrived.
 func (guardedConnection *guardedConnection) awaitsRequest() bool {
 	return guardedConnection.state != http.StateActive && !guardedConnection.unhandledBytes.Load() && !guardedConnection.hasUnreadBytes()
 }
 
-// unread reports whether bytes have arrived that have not been read: a process that is short of processor time comes to them late.
+// hasUnreadBytes reports whether the kernel holds bytes that have not been read: a process that is short of CPU time reads them
+// late.
 func (guardedConnection *guardedConnection) hasUnreadBytes() bool {
 	raw, err := guardedConnection.SyscallConn()
 	if err != nil {
@@ -93,8 +95,8 @@
 	return err == nil && ioctlErr == nil && count > 0
 }
 
-// retire ends the connection, if it waits for a request, or else after the request that it has. New ones are left alone unless they
-// are to end as well.
+// closeWhenIdle closes the connection at once if it waits for a request, otherwise after its current request. New connections,
+// on which nothing has been read yet, are kept unless includeNew is set. Multiplexed connections are left to the HTTP server.
 func (guardedConnection *guardedConnection) closeWhenIdle(includeNew bool) {
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
@@ -103,28 +105,28 @@
 	}
 	guardedConnection.closing = true
 	if guardedConnection.awaitsRequest() {
-		// One that has ended already needs nothing more.
+		// An error means that the connection is closed already.
 		_ = guardedConnection.TCPConn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// setState notes what the server does with the connection.
+// setState records the state that net/http reports for the connection.
 func (guardedConnection *guardedConnection) setState(state http.ConnState) {
 	if state == http.StateIdle {
-		// The next bytes are a head.
+		// The next bytes are the head of a request.
 		guardedConnection.guard.reset()
 	}
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
 	guardedConnection.state = state
 	if state == http.StateActive && guardedConnection.closing {
-		// The request was read as the connection was retired. Its body may still come, and a read that fails would be taken for
-		// a caller that has gone.
+		// The request was read while closeWhenIdle set the deadline. Its body may still arrive, and a failed read would be
+		// treated as a disconnect of the caller.
 		_ = guardedConnection.TCPConn.SetReadDeadline(time.Time{})
 	}
 }
 
-// noteState is the server's hook for changes of a connection's state.
+// handleConnState is the ConnState hook of the HTTP server.
 func handleConnState(connection net.Conn, state http.ConnState) {
 	if guarded, isGuarded := connection.(*guardedConnection); isGuarded {
 		guarded.setState(state)
--- a/internal/caller/drain.go
+++ b/internal/caller/drain.go
@@ -11,20 +11,22 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// errLeaving is the cause with which requests end when the time for leaving is nearly over.
-var errDraining = errors.New("this instance leaves before the request could end")
+// errDraining is the cause of cancelling the requests that are still in flight at the end of the drain.
+var errDraining = errors.New("instance is shutting down and the request cannot end in time")
 
-// leavingComeBack is when a caller may return whose request has not run at an instance that leaves. Others serve meanwhile.
+// drainRetryAfter is the retry delay for a request that has not run because the instance is draining. Other instances serve
+// meanwhile.
 const drainRetryAfter = 20 * clock.Millisecond
 
-// drain is what requests are held to while the instance leaves.
+// drain has the time limits of requests while the instance is draining.
 type drain struct {
-	// takeUntil is when requests are no longer taken that may last until answerBy, when every one must be answered.
+	// Until acceptUntil, every request is accepted, with its deadline shortened to respondBy. After that, only requests whose
+	// own deadline is not later than respondBy are accepted.
 	acceptUntil, respondBy clock.Moment
 }
 
-// Drain has every request answered within the given time: those that arrive later than takeFor are refused unless all of their own time
-// fits. Callers are told that their connections end.
+// Drain ends every request within respondWithin. Requests that arrive after acceptFor are rejected unless their deadline falls
+// within respondWithin. Responses carry Connection: close from then on. Later calls have no effect.
 func (handler *Handler) Drain(acceptFor, respondWithin clock.Milliseconds) {
 	now := handler.options.Clock.Now()
 	if !handler.drain.CompareAndSwap(nil, &drain{acceptUntil: now.Add(acceptFor), respondBy: now.Add(respondWithin)}) {
@@ -33,17 +35,17 @@
 	time.AfterFunc(respondWithin.Duration(), func() { handler.cancelAll(errDraining) })
 }
 
-// draining reports whether the instance leaves.
+// draining reports whether Drain has been called.
 func (handler *Handler) draining() bool {
 	return handler.drain.Load() != nil
 }
 
-// leaves reports whether the request ended because the instance leaves.
+// endedByDrain reports whether the request was cancelled because the instance is draining.
 func endedByDrain(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errDraining)
 }
 
-// boundByDrain shortens the request's time to what is left of the time for leaving, or refuses it.
+// applyDrainDeadline shortens the request's deadline to the end of the drain, or rejects the request.
 func (call *call) applyDrainDeadline() *errorResponse {
 	drain := call.handler.drain.Load()
 	if drain == nil || call.deadline <= drain.respondBy {
@@ -56,6 +58,7 @@
 	return nil
 }
 
+// newDrainRejection returns the error response for a request that has not run because the instance is draining.
 func newDrainRejection() *errorResponse {
 	errorResponse := newRejection(http.StatusServiceUnavailable, outcome.ReasonLeaving, errDraining)
 	errorResponse.retryAfter = drainRetryAfter
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -12,9 +12,9 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// forward sends the request until it is answered or may not be sent again.
+// forward sends the request until it is answered or may not be retried.
 func (call *call) forward(ctx context.Context) {
-	// failed is an earlier answer that told of a failure; it is passed on when nothing better comes.
+	// failedAttempt has the last server error response; it is forwarded if no retry gets a better one.
 	var failedAttempt *attempt
 	for {
 		if errorResponse := call.acquirePermit(ctx); errorResponse != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// endAttempts ends a request that is not sent again: with a backend server's answer if there is any.
+// finishAttempts ends a request that is not retried, with a backend server's response if there is one.
 func (call *call) finishAttempts(ctx context.Context, lastAttempt, failedAttempt *attempt) {
 	if lastAttempt.answered() {
 		failedAttempt.discard()
@@ -64,14 +64,14 @@
 	call.respondWithFailure(ctx, lastAttempt)
 }
 
-// worthRetry reports whether an answer tells of a failure that another backend server may not have. Answers are only
-// held back for that where they are read ahead.
+// isRetryableResponse reports whether the response is a server error that another backend server might not return. Only
+// dialects that buffer responses can retry after one, since other dialects forward each response as it arrives.
 func (call *call) isRetryableResponse(attempt *attempt) bool {
 	return call.route.Class.Settings.Idempotent && call.handler.options.Dialect.MaxBufferedResponseBytes > 0 &&
 		attempt.exchange.Response.StatusCode >= http.StatusInternalServerError
 }
 
-// takePlace waits for a place on a backend server.
+// acquirePermit waits for a permit of a backend server.
 func (call *call) acquirePermit(ctx context.Context) *errorResponse {
 	before := call.now()
 	permit, err := call.route.Service.Take(ctx, call.permitRequest())
@@ -107,7 +107,7 @@
 		errorResponse.reason = outcome.ReasonDeadline
 	}
 	if errorResponse.outcome == outcome.Unknown && errorResponse.status == http.StatusServiceUnavailable {
-		// That status would promise that the request did not run.
+		// Status 503 would promise that the request did not run.
 		errorResponse.status = http.StatusBadGateway
 	}
 	return errorResponse
@@ -120,7 +120,7 @@
 	}
 }
 
-// outcomeSoFar is Unknown once an attempt may have run.
+// outcomeSoFar returns Unknown if an earlier attempt may have run, otherwise NotRun.
 func (call *call) outcomeSoFar() outcome.Outcome {
 	for _, earlier := range call.attempts {
 		if earlier.Result == trace.ResultCut {
@@ -130,8 +130,8 @@
 	return outcome.NotRun
 }
 
-// attemptOnce sends the request to the backend server of the place held, and to a second one when the first is slow and
-// the class allows it. What it returns holds its place, unless it has failed.
+// attemptOnce sends the request to the backend server of the held permit, and a hedged request to another one if the first is
+// slow and the class allows it. The call then holds the permit of the returned attempt, or none if that attempt failed.
 func (call *call) attemptOnce(ctx context.Context) attempt {
 	before := call.now()
 	var attempt attempt
@@ -151,9 +151,10 @@
 	return attempt
 }
 
-// mayRetry decides whether the request is sent again. One that may have run is sent again only if it is idempotent; so
-// no payment is, whatever failed. A request that was a retry already when it came here is left to whoever retried it,
-// since nine calls deep each level's retries would multiply.
+// mayRetry reports whether the request is retried, and charges the retry to the retry budget. A request that may have run is
+// retried only if it is idempotent, so a payment never is. A request that was already a retry when it arrived is left to the
+// sender that retried it, since the retries of each level of calls, up to nine deep, would multiply. Attempts that are
+// exempt from the budget are retried in either case.
 func (call *call) mayRetry(ctx context.Context, attempt *attempt) bool {
 	if ctx.Err() != nil || !call.body.replayable() || call.body.readError() != nil {
 		return false
@@ -178,7 +179,7 @@
 	return min(limit, trace.AttemptsMost)
 }
 
-// endFailed ends a request that is not sent again.
+// respondWithFailure ends a request that is not retried with an error response.
 func (call *call) respondWithFailure(ctx context.Context, attempt *attempt) {
 	defer attempt.discard()
 	errorResponse := errorResponse{status: http.StatusBadGateway, outcome: call.outcomeSoFar(), cause: attempt.err}
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -16,51 +16,51 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// AddressesPath is where an instance answers which instances to use.
+// AddressesPath is the path that lists the instances that a caller may use.
 const AddressesPath = settings.ReservedPath + "v1/addresses"
 
-// Options are what a Handler is made from.
+// Options configures a Handler.
 type Options struct {
-	// Table returns the table in force, or nil before there are settings.
+	// Table returns the active routing table, or nil if there are no settings yet.
 	Table func() *routing.Table
-	// AwaitTable waits a moment for a table when there is none yet. It may be nil.
+	// AwaitTable waits briefly for a routing table if there is none yet. It may be nil.
 	AwaitTable func(context.Context) *routing.Table
-	// Quota holds teams to their rate limits; it may be nil.
+	// Quota enforces the teams' rate limits; it may be nil.
 	Quota *quota.Ledger
 	// KeyFreshness returns how current the API keys of the active table are; nil means that they are current.
 	KeyFreshness func() team.KeyStanding
 	// Servers are the connections to backend servers.
 	Servers *backendserver.Servers
-	// Registry counts what belongs to no class.
+	// Registry counts events that belong to no class.
 	Registry *metrics.Registry
-	// Traces keeps the story of each request.
+	// Traces keeps the traces of recent requests.
 	Traces *trace.Ring
-	// Clock tells the time.
+	// Clock is the source of the current time.
 	Clock *clock.Clock
-	// Instance is this instance's name; it is written into Via.
+	// Instance is this instance's name, which is added to Via.
 	Instance settings.InstanceName
 	// MaxStall bounds each read of a request's body and each write of a response.
 	MaxStall clock.Milliseconds
-	// Dialect is how HTTP is spoken; nil means jaywheel's own.
+	// Dialect defines headers and reserved paths; nil means NewDialect().
 	Dialect *Dialect
 	// OnRequestDone is called with the trace of each completed request. It must not block. It may be nil.
 	OnRequestDone func(*trace.Request)
 }
 
-// Handler takes callers' requests.
+// Handler handles callers' requests.
 type Handler struct {
 	options  Options
 	inFlight atomic.Int64
-	// drain is nil until the instance leaves.
+	// drain is nil until Drain is called.
 	drain atomic.Pointer[drain]
-	// running is the context of all requests; endAll ends it.
+	// baseContext is the parent context of all requests; cancelAll cancels it.
 	baseContext context.Context
 	cancelAll   context.CancelCauseFunc
-	// heldBodies is the number of bytes of larger bodies that are held.
+	// bufferedBodyBytes is the total length of the buffered bodies longer than alwaysBufferedBytes.
 	bufferedBodyBytes atomic.Int64
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a Handler with the given options.
 func NewHandler(options Options) *Handler {
 	if options.Dialect == nil {
 		options.Dialect = NewDialect()
@@ -70,16 +70,16 @@
 	return handler
 }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (handler *Handler) InFlight() int64 {
 	return handler.inFlight.Load()
 }
 
 // Events of callers' connections.
 const (
-	// EventUnfinished counts connections that ended within a request that made no sense or was never whole.
+	// EventUnfinished counts connections that were closed within a malformed or incomplete request.
 	EventUnfinished = "caller.unfinished"
-	// EventPanic counts requests whose handling went wrong in a way that nobody foresaw.
+	// EventPanic counts requests whose handling panicked unexpectedly.
 	EventPanic = "caller.panic"
 )
 
@@ -100,14 +100,14 @@
 	call.serve()
 }
 
-// countPanic turns an unforeseen panic into one that breaks the caller's connection, so that the request does not end as
-// if it had been answered, and counts it.
+// countPanic counts an unexpected panic and replaces it with http.ErrAbortHandler, which aborts the caller's connection, so that
+// the request does not look answered.
 func (handler *Handler) countPanic() {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	if cause != http.ErrAbortHandler { //nolint:errorlint // The library panics with this very value.
+	if cause != http.ErrAbortHandler { //nolint:errorlint // net/http panics with exactly this value.
 		handler.options.Registry.Events.Add(EventPanic, 1)
 	}
 	panic(http.ErrAbortHandler)
@@ -129,10 +129,11 @@
 	return call
 }
 
-// mostRequestID is the longest id that is taken over from a caller; explain shows it and the ring keeps it.
+// maxRequestIDLength is the length in bytes of the longest request ID accepted from a caller, since the ring of traces keeps the
+// ID and explain shows it.
 const maxRequestIDLength = 128
 
-// requestID returns the caller's id, or a random one when there is none fit to keep.
+// requestID returns the caller's request ID, or a random one if there is none or it is too long.
 func (handler *Handler) requestID(request *http.Request) trace.RequestID {
 	value := request.Header.Get(handler.options.Dialect.RequestIDHeader)
 	if value == "" || len(value) > maxRequestIDLength {
--- a/internal/caller/headers.go
+++ b/internal/caller/headers.go
@@ -12,13 +12,13 @@
 	"github.com/jaywheel/jaywheel/internal/service"
 )
 
-// hopByHop are the headers that speak of one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection only (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// removeHopByHop takes out what must not be passed on, including what Connection names.
+// removeHopByHop removes the headers that must not be forwarded, including those that Connection names.
 func removeHopByHop(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -32,7 +32,7 @@
 	}
 }
 
-// outgoing builds the request for one backend server.
+// outgoing builds the request to a backend server.
 func (call *call) outgoing(target *service.Target) *http.Request {
 	incoming := call.request
 	dialect := call.handler.options.Dialect
@@ -45,7 +45,7 @@
 		header.Set("Te", "trailers")
 	}
 	if _, present := header["User-Agent"]; !present {
-		// Without this the library would write its own name in the caller's place.
+		// Otherwise net/http would add its own User-Agent.
 		header["User-Agent"] = nil
 	}
 	header.Set(dialect.RequestIDHeader, string(call.id))
@@ -77,7 +77,7 @@
 	return outgoing
 }
 
-// removeOwn takes out headers that only jaywheel sets, so that neither side can speak in its name.
+// removeReserved removes headers that only jaywheel may set, so that neither callers nor backend servers can forge them.
 func removeReserved(header http.Header, isReserved func(string) bool) {
 	for name := range header {
 		if isReserved(name) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// attemptNumber reads how often the request was sent before it came here; what can't be read counts as once.
+// attemptNumber returns how often the request was sent before it arrived here. A malformed number counts as 1.
 func (call *call) attemptNumber() int {
 	name := call.handler.options.Dialect.AttemptHeader
 	if name == "" {
--- a/internal/caller/headguard.go
+++ b/internal/caller/headguard.go
@@ -10,29 +10,30 @@
 
 const contentLengthHeader = "content-length"
 
-// preface is the first line on a connection that carries several requests at once.
+// http2Preface is the first line on an HTTP/2 connection, which carries several requests at once.
 const http2Preface = "PRI * HTTP/2.0"
 
-var errAmbiguousFraming = errors.New("the request gives its length in two ways")
+var errAmbiguousFraming = errors.New("request has both Content-Length and Transfer-Encoding")
 
-// headGuard notices a request head that holds a Content-Length. The standard library takes that header out of a
-// request that has a Transfer-Encoding as well, so that a handler can't see it; but a request with both is how one
-// request is smuggled inside another past two servers that disagree about which of them counts, and is refused here.
+// headGuard detects a Content-Length in a request's head. net/http removes that header from a request that also has a
+// Transfer-Encoding, so a handler cannot see it. A request with both can smuggle another request past two servers that
+// disagree about which header applies, and is rejected.
 //
-// It looks at whole heads only while it is sure where they begin. Once bytes have been read past the end of a head,
-// a body or a pipelined request, it stops looking for good, and a chunked request on such a connection is its last.
+// headGuard inspects heads only while it knows where they begin. When bytes past the end of a head have been read, from a body
+// or a pipelined request, it stops inspecting the connection, and the connection is closed after its next chunked request.
 type headGuard struct {
+	// scanning means that the next bytes belong to a head.
 	scanning         bool
 	desynchronized   bool
 	sawContentLength bool
-	// sawPreface says that the first line was the preface.
+	// sawPreface means that the first line was the HTTP/2 preface.
 	sawPreface       bool
 	lines            int
 	linePrefix       [len(contentLengthHeader) + 1]byte
 	linePrefixLength int
 }
 
-// restart prepares for the next request on the connection.
+// reset prepares the guard for the next request on the connection.
 func (headGuard *headGuard) reset() {
 	headGuard.scanning = !headGuard.desynchronized
 	headGuard.sawContentLength = false
@@ -40,7 +41,7 @@
 	headGuard.linePrefixLength = 0
 }
 
-// observe looks at bytes as they arrive.
+// observe inspects bytes as they are read.
 func (headGuard *headGuard) observe(data []byte) {
 	for headGuard.scanning && len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
@@ -57,7 +58,7 @@
 	}
 }
 
-// keep remembers the start of the current line.
+// appendPrefix appends to the stored start of the current line.
 func (headGuard *headGuard) appendPrefix(part []byte) {
 	headGuard.linePrefixLength += copy(headGuard.linePrefix[headGuard.linePrefixLength:], part)
 }
@@ -76,8 +77,8 @@
 	headGuard.scanning = headGuard.lines == 0
 }
 
-// checkFraming refuses a request whose length is given in two ways. It reports whether the connection must end after
-// this request because nobody can be sure that it was given in one way only.
+// checkFraming returns an error for a request that has both Content-Length and Transfer-Encoding. It also reports whether the
+// connection must be closed after this request, because the request has both or the guard could not inspect its head.
 func checkFraming(request *http.Request) (bool, error) {
 	if request.ProtoMajor != 1 || !slices.Contains(request.TransferEncoding, "chunked") {
 		return false, nil
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -9,26 +9,27 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Hedging.
+// Parameters of hedging.
 const (
-	// hedgeMargin is how much longer than usual the second copy is given to be in time.
+	// hedgeMarginFactor multiplies the expected time of the hedged request when its latest start is computed, so that it can
+	// take somewhat longer than expected and still meet the soft deadline.
 	hedgeMarginFactor = 1.15
-	// hedgeOverdue is how many times the usual time a request may take on a target that looks calm before a second copy
-	// is sent all the same: with a spread of 0.3, 1 in 20 takes longer.
+	// hedgeOverdueFactor is the multiple of the expected time after which a hedged request is sent even though the first
+	// request's target does not look slow: with a spread of 0.3, 1 in 20 requests takes longer than that.
 	hedgeOverdueFactor = 1.5
-	// hedgeLook is how often a request that is due looks whether its target has slowed down.
+	// hedgePollInterval is how often a request that is due for hedging checks whether its target has slowed down.
 	hedgePollInterval = 20 * clock.Millisecond
 )
 
-// mayHedge reports whether a second copy of the request could be sent while the first is under way. That protects the
-// tail: a target slows down in the midst of a request, and the answer comes too late although others are calm.
+// mayHedge reports whether a hedged request could be sent while the first request is in flight. Hedging reduces tail latency:
+// a target may slow down during a request, whose response would then be late although other targets are not slow.
 func (call *call) mayHedge() bool {
 	return call.route.Service.Scheduler != nil && call.route.Class.Settings.Idempotent && call.body.replayable() &&
 		call.body.stream == nil && len(call.attempts)+1 < call.maxAttempts()
 }
 
-// hedge sends the request, and a second copy to another target at the last moment at which it can still be in time if
-// the first one's target is slow. The first usable answer wins and the other copy is cancelled.
+// hedge sends the request. If the first request's target is slow, it sends a hedged request to another target at the latest
+// time at which that one can still meet the soft deadline. The first usable response wins and the other request is cancelled.
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
 	first := call.permit
@@ -40,7 +41,7 @@
 	}
 	call.attempts = append(call.attempts, trace.Attempt{
 		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Listed, Taken: first.Taken,
-		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "a second copy was sent",
+		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "hedged request was sent",
 	})
 	call.route.Class.Metrics.CountRetry()
 	call.chargeRetry()
@@ -67,7 +68,8 @@
 	return mergeFailures(earlier, later)
 }
 
-// unanswered returns the copy that tells how a request ended of which no copy was answered: it has not run only if neither copy has.
+// mergeFailures returns the attempt that determines the outcome if neither the first nor the hedged request was answered, and
+// discards the other one. The returned attempt has not run only if neither has.
 func mergeFailures(one, other attempt) attempt {
 	if other.notRun && !one.notRun {
 		one, other = other, one
@@ -76,7 +78,7 @@
 	return other
 }
 
-// sendCopy sends the request under a context of its own, which lasts until what comes of it has been discarded or passed on.
+// sendAsync sends the request in a goroutine, under a context of its own that lasts until the attempt is discarded.
 func (call *call) sendAsync(ctx context.Context, permit service.Place, results chan<- attempt) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	request := call.outgoing(permit.Target)
@@ -88,12 +90,13 @@
 	return cancel
 }
 
-// settle waits for the copy that lost and gives back what it holds.
+// awaitLoser waits for the attempt that is not used, and discards it.
 func awaitLoser(results <-chan attempt) {
 	loser := <-results
 	discardLoser(&loser)
 }
 
+// discardLoser releases the permit of an attempt that is not used, and closes its response.
 func discardLoser(loser *attempt) {
 	if loser.answered() {
 		loser.permit.Release(service.Cancelled)
@@ -101,8 +104,8 @@
 	loser.discard()
 }
 
-// awaitFirst waits for the first copy. It returns a place for the second one when the first is slow, or else what came of
-// the first.
+// awaitFirst waits for the first request. It returns a permit for the hedged request if the first one is slow, or else the
+// result of the first one.
 func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
 	expected := call.route.Service.Scheduler.Expected(call.route.Class.Name)
 	latestStart := call.softDeadline.Add(-service.CallerDistance - hedgeMarginFactor*expected)
@@ -127,6 +130,7 @@
 	}
 }
 
+// acquireHedgePermit acquires a permit for the hedged request without waiting, and charges it to the retry budget.
 func (call *call) acquireHedgePermit(permitRequest service.Demand) (service.Place, bool) {
 	second, acquired := call.route.Service.Scheduler.TryTake(permitRequest)
 	if !acquired {
--- a/internal/caller/hints.go
+++ b/internal/caller/hints.go
@@ -9,21 +9,21 @@
 	"sync"
 )
 
-// hints passes on informational answers (103 Early Hints and its like) while the final one is awaited. They arrive on
-// the connection's goroutine, which may still be running when the attempt has been given up; the mutex keeps one that
-// comes late from writing into the answer of another attempt.
+// hints forwards informational responses, such as 103 Early Hints, until the final response arrives. They arrive on the
+// goroutine of the backend server's connection, which may still run when the attempt has been abandoned; the mutex keeps a late
+// one from being written into the response of another attempt.
 type hints struct {
 	call    *call
 	mutex   sync.Mutex
 	stopped bool
 }
 
-// watch returns a context under which informational answers are passed on.
+// withHints returns a context for the attempt, under which informational responses are forwarded.
 func (hints *hints) withHints(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{Got1xxResponse: hints.relay})
 }
 
-// end passes nothing on any more.
+// stop ends the forwarding of informational responses.
 func (hints *hints) stop() {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
@@ -33,7 +33,7 @@
 func (hints *hints) relay(status int, received textproto.MIMEHeader) error {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
-	// The server itself sends 100 when the body is first read, and a change of protocol is not offered.
+	// net/http sends 100 itself when the body is first read, and protocol upgrades are not supported.
 	if hints.stopped || status == http.StatusContinue || status == http.StatusSwitchingProtocols {
 		return nil
 	}
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -14,38 +14,38 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// headerKey bears a caller's API key.
+// keyHeader carries a caller's API key.
 const keyHeader = "Authorization"
 
-// keyScheme goes before the key, in any case (RFC 9110, section 11.1).
+// keyScheme precedes the key; its case is ignored (RFC 9110, section 11.1).
 const keyScheme = "Bearer"
 
-// keyMost is the length of the longest key that is looked for, in bytes.
+// maxKeyLength is the length in bytes of the longest key accepted.
 const maxKeyLength = 4096
 
-// unsureComeBack is when a caller may return whose key is unknown to an instance that may not have the newest configuration.
+// unconfirmedKeyRetryAfter is the retry delay if an instance whose configuration may be outdated cannot confirm the API key.
 const unconfirmedKeyRetryAfter = 250 * clock.Millisecond
 
-// Why a request bears no key that counts. None of them quotes what the caller sent.
+// Reasons to reject a request for its API key or its team. The messages do not quote what the caller sent.
 var (
-	errNoKey          = errors.New("the request bears no API key")
-	errMultipleKeys   = errors.New("the request bears more than one API key")
-	errMalformedKey   = errors.New("the API key is not given as \"Bearer KEY\"")
-	errUnknownKey     = errors.New("no team holds the API key")
-	errUnconfirmedKey = errors.New("no team holds the API key in a configuration that may not be the newest")
-	errStaleKeys      = errors.New("nothing has been heard of the store for so long that the API key may have been revoked")
-	errTeamLimit      = errors.New("the team's rate limit is reached")
+	errNoKey          = errors.New("request has no API key")
+	errMultipleKeys   = errors.New("request has more than one API key")
+	errMalformedKey   = errors.New("API key is not of the form \"Bearer KEY\"")
+	errUnknownKey     = errors.New("no team has the API key")
+	errUnconfirmedKey = errors.New("no team has the API key in a configuration that may be outdated")
+	errStaleKeys      = errors.New("store has not answered for so long that the API key may have been revoked")
+	errTeamLimit      = errors.New("team's rate limit is reached")
 )
 
-// identity is what a request's API key tells.
+// identity is the team that a request's API key belongs to.
 type identity struct {
 	team   *team.Team
 	digest team.KeyDigest
-	// taken says that the request was counted against its team's rate limit.
+	// quotaCharged means that the request is counted against its team's rate limit.
 	quotaCharged bool
 }
 
-// readKey returns the key that the request bears.
+// readKey returns the API key in a request's header.
 func readKey(header http.Header) (string, error) {
 	values := header[keyHeader]
 	switch {
@@ -62,7 +62,7 @@
 	return key, nil
 }
 
-// identify finds the team whose key the request bears, where requests need one.
+// authenticate finds the team of the request's API key. Unless the route is public, it rejects a request without a valid key.
 func (call *call) authenticate() *errorResponse {
 	if call.table.Teams == nil {
 		return nil
@@ -92,6 +92,7 @@
 	}
 }
 
+// keyFreshness returns how current the API keys of the active table are.
 func (call *call) keyFreshness() team.KeyStanding {
 	if call.handler.options.KeyFreshness == nil {
 		return team.KeysCurrent
@@ -99,7 +100,7 @@
 	return call.handler.options.KeyFreshness()
 }
 
-// takeQuota counts the request against its team's rate limit.
+// chargeQuota counts the request against its team's rate limit, or rejects it if the limit is reached.
 func (call *call) chargeQuota() *errorResponse {
 	quota := call.handler.options.Quota
 	if call.identity.team == nil || quota == nil {
@@ -113,14 +114,14 @@
 	return nil
 }
 
-// repeatQuota counts another attempt against the team's rate limit.
+// chargeRetry counts another attempt against the team's rate limit.
 func (call *call) chargeRetry() {
 	if call.identity.quotaCharged {
 		call.handler.options.Quota.Repeat(call.identity.team.Name)
 	}
 }
 
-// returnQuota gives back what a request has taken that has not run and never will.
+// refundQuota takes back the charge for a request that has not run and will not run.
 func (call *call) refundQuota() {
 	if call.identity.quotaCharged {
 		call.identity.quotaCharged = false
@@ -128,12 +129,12 @@
 	}
 }
 
-// mayRepeat reports whether the team's rate limit leaves room for a second copy of the request.
+// quotaAllowsRetry reports whether the team's rate limit allows another attempt.
 func (call *call) quotaAllowsRetry() bool {
 	return !call.identity.quotaCharged || !call.handler.options.Quota.Exhausted(call.identity.team.Name)
 }
 
-// revoked reports whether the key was revoked after the request came.
+// keyRevoked reports whether the API key has been revoked since the request arrived.
 func (call *call) keyRevoked() bool {
 	if call.identity.team == nil || call.route.Public {
 		return false
@@ -146,7 +147,8 @@
 	return !known
 }
 
-// endRevoked ends a request whose key was revoked before it was sent, or sent again.
+// rejectRevoked releases the permit and returns the error response for a request whose API key was revoked before an attempt.
+// The outcome is Unknown if an earlier attempt may have run.
 func (call *call) rejectRevoked() *errorResponse {
 	call.release(service.Cancelled)
 	for _, earlier := range call.attempts {
@@ -157,7 +159,7 @@
 	return newRejection(http.StatusUnauthorized, outcome.ReasonUnauthorized, errUnknownKey)
 }
 
-// teamPriority is the team's priority, or that of the route if it has none.
+// teamPriority returns the team's priority, or that of the request's class if the team has none.
 func (call *call) teamPriority() settings.Priority {
 	if call.identity.team == nil || call.identity.team.Priority == team.NoPriority {
 		return call.route.Class.Settings.Priority
@@ -165,7 +167,8 @@
 	return call.identity.team.Priority
 }
 
-// setTeam has the header tell a backend server whose request it is, and keeps the key from it.
+// setTeamHeader sets the team's name in the header for the backend server, and removes the API key, which the server must not
+// receive. Callers' own values of the header are removed.
 func (call *call) setTeamHeader(header http.Header) {
 	name := call.handler.options.Dialect.TeamHeader
 	if name == "" {
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -15,16 +15,17 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// newMost is how long a connection that has brought nothing yet is waited for once no more are taken.
+// newConnectionTimeout is how long a draining listener waits for the first request on connections that have sent nothing yet.
 const newConnectionTimeout = clock.Second
 
-// Connections that wait to be taken when listening ends are waited for at most for takenMost, and looked for every takenLook.
+// Before listening ends, the kernel's queue of connections to accept is polled every acceptQueuePollInterval until it is empty,
+// for at most acceptQueueTimeout.
 const (
 	acceptQueueTimeout      = 200 * clock.Millisecond
 	acceptQueuePollInterval = 2 * clock.Millisecond
 )
 
-// Listener takes callers' connections, at most as many at once as there are tokens.
+// Listener accepts callers' connections, at most as many at once as there are tokens.
 type Listener struct {
 	*net.TCPListener
 	tokens       chan struct{}
@@ -33,14 +34,15 @@
 	onUnfinished func()
 
 	mutex sync.Mutex
-	// open are the connections that carry one request at a time.
+	// open has the connections that carry one request at a time.
 	open                map[*guardedConnection]struct{}
 	accepting, draining bool
-	// ended is closed when draining has left no open connection.
+	// drained is closed when the listener is draining and no connection is open.
 	drained chan struct{}
 }
 
-// Listen listens for callers and takes no more connections than the limit. It counts those that end unfinished.
+// Listen listens for callers on the TCP address, and limits the number of open connections to limits.ConnectionsMost. It counts
+// EventUnfinished in events.
 func Listen(address string, limits settings.Callers, events *expvar.Map) (*Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -67,8 +69,8 @@
 	}
 }
 
-// Accept implements net.Listener. Above the limit it takes no connection until one ends, so that a flood of them costs
-// the kernel's queue and nothing else.
+// Accept implements net.Listener. At the limit it accepts no connection until another one is closed, so that a flood of
+// connections only fills the kernel's queue.
 func (listener *Listener) Accept() (net.Conn, error) {
 	select {
 	case listener.tokens <- struct{}{}:
@@ -124,8 +126,10 @@
 	return listener.TCPListener.Close()
 }
 
-// Drain takes no more connections than have come, ends those that wait for a request, and returns when all others have ended after the request that
-// they have. http.Server.Shutdown, which ends multiplexed connections well, must come after it: it drops requests that it has read.
+// Drain accepts the connections that are already queued, stops listening, closes connections that wait for a request, and returns
+// when all others have been closed after their current request. It returns an error if ctx is done before that.
+// http.Server.Shutdown, which closes multiplexed connections gracefully, must be called after Drain: it drops requests that have
+// been read but not handled yet.
 func (listener *Listener) Drain(ctx context.Context) error {
 	listener.waitForAcceptQueue(ctx)
 	if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -146,8 +150,8 @@
 	}
 }
 
-// waitUntilTaken waits a moment until no connection waits to be taken, and reports whether none does: those in the kernel's queue are
-// reset when listening ends, although their callers may have sent their requests.
+// waitForAcceptQueue waits, for at most acceptQueueTimeout, until the kernel's queue of connections to accept is empty, and reports
+// whether it is: queued connections are reset when listening ends, although their callers may have sent requests.
 func (listener *Listener) waitForAcceptQueue(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, acceptQueueTimeout.Duration())
 	defer cancel()
@@ -163,7 +167,7 @@
 	return true
 }
 
-// hasWaiting reports whether a connection waits to be taken.
+// hasQueuedConnection reports whether a connection waits to be accepted.
 func (listener *Listener) hasQueuedConnection() bool {
 	raw, err := listener.SyscallConn()
 	if err != nil {
--- a/internal/caller/package.go
+++ b/internal/caller/package.go
@@ -1,5 +1,5 @@
-// Package caller speaks HTTP to callers: it answers which instances to use, and takes their requests to a backend
-// server and the answer back.
+// Package caller serves HTTP to callers: it forwards their requests to backend servers and the responses back, and lists the
+// addresses of the instances that a caller may use for a service.
 //
 // # Usage
 //
--- a/internal/caller/response.go
+++ b/internal/caller/response.go
@@ -13,8 +13,8 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// Buffers through which answers pass. The large one is for answers known to be long, which pass faster through it. Small answers don't use it, since
-// thousands of them at once would take hundreds of megabytes.
+// Sizes in bytes of the buffers for copying response bodies. Responses known to be at least largeResponseBytes long are copied
+// faster with the large buffer. Shorter ones do not use it, since thousands of them at once would take hundreds of megabytes.
 const (
 	copyBytes          = 32 << 10
 	copyBytesLarge     = 256 << 10
@@ -26,7 +26,7 @@
 	copyBuffersLarge = newBufferPool(copyBytesLarge)
 )
 
-// bufferPool keeps buffers of one size.
+// bufferPool is a pool of buffers of one size.
 type bufferPool struct {
 	pool sync.Pool
 }
@@ -47,7 +47,7 @@
 	bufferPool.pool.Put(buffer)
 }
 
-// buffersFor returns the buffers for an answer of the given length, -1 when it is not known.
+// buffersFor returns the buffer pool for a response of the given length in bytes, -1 if it is unknown.
 func buffersFor(length int64) *bufferPool {
 	if length >= largeResponseBytes {
 		return copyBuffersLarge
@@ -60,8 +60,8 @@
 	errServerRead  = errors.New("read from backend server")
 )
 
-// answer passes a backend server's answer on. When it breaks off, the caller's connection is broken as well: an answer
-// that ends cleanly would be taken for the whole one.
+// forwardResponse forwards a backend server's response to the caller. If the response is cut off, the caller's connection is
+// aborted as well: a truncated response that ended cleanly would be taken for a complete one.
 func (call *call) forwardResponse(attempt attempt) {
 	defer attempt.discard()
 	exchange := attempt.exchange
@@ -69,7 +69,7 @@
 	call.writeResponseHeader(exchange)
 	call.permit.Size = call.body.bytesRead() + len(attempt.buffered)
 	if exchange.Whole() {
-		// The answer is here in full, so its server is free again.
+		// The response has been read completely, so the permit need not be held until it is forwarded.
 		exchange.Close()
 		call.release(resultOf(status, nil))
 	}
@@ -91,7 +91,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// resultOf tells whether an answer counts for or against its backend server.
+// resultOf returns how a forwarded response counts for its backend server: as a success, a failure or not at all.
 func resultOf(status int, err error) service.Result {
 	switch {
 	case errors.Is(err, errCallerWrite):
@@ -103,7 +103,7 @@
 	}
 }
 
-// startAnswer writes the answer's header.
+// writeResponseHeader writes the response's header to the caller.
 func (call *call) writeResponseHeader(exchange *backendserver.Exchange) {
 	response := exchange.Response
 	removeHopByHop(response.Header)
@@ -121,7 +121,7 @@
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
 	}
 	if _, present := header["Date"]; !present {
-		// The library would add one, as if the answer had been made here.
+		// Otherwise net/http would add a date, as if this instance had generated the response.
 		header["Date"] = nil
 	}
 	call.setWriteDeadline()
@@ -130,8 +130,8 @@
 	call.route.Class.Metrics.Added.Record(addedLatency)
 }
 
-// copyAnswer passes the body on as it arrives. An answer without a known length is flushed after each read, since it
-// may be a stream that somebody watches.
+// copyResponseBody forwards the body as it arrives. A response of unknown length is flushed after each read, since it may be
+// a live stream.
 func (call *call) copyResponseBody(attempt *attempt) error {
 	exchange := attempt.exchange
 	if len(attempt.buffered) > 0 {
@@ -149,7 +149,7 @@
 	defer buffers.put(pooled)
 	flushEach := exchange.Response.ContentLength < 0
 	for {
-		// A multiplexed request would be cut off when the time for a write is over although none is under way.
+		// On HTTP/2, a write deadline that passes would abort the request even though no write is in progress.
 		call.clearWriteDeadline()
 		count, readErr := exchange.Read(*pooled)
 		if count > 0 {
@@ -158,12 +158,12 @@
 				return errors.Join(errCallerWrite, err)
 			}
 			if flushEach {
-				// An error shows again at the next write.
+				// An error recurs at the next write.
 				_ = call.controller.Flush()
 			}
 		}
 		if readErr == io.EOF { //nolint:errorlint // io.Reader returns it bare.
-			// The library writes what is left, such as the mark of the end.
+			// net/http writes the rest, such as the final chunk, when the handler returns.
 			call.setWriteDeadline()
 			call.copyTrailers(exchange.Response)
 			return nil
@@ -174,8 +174,8 @@
 	}
 }
 
-// readAhead reads the answer's body up to the given length. An answer that breaks off within it has not been passed on
-// yet, so its request can be sent again.
+// bufferBody reads the response body up to maxBytes; a body known to be longer is not read. If the response is cut off, none
+// of it has been forwarded yet, so the request can be retried.
 func (attempt *attempt) bufferBody(maxBytes int64) error {
 	length := attempt.exchange.Response.ContentLength
 	if length > maxBytes {
@@ -204,12 +204,12 @@
 // connectionKey is the context key of the caller's connection.
 type connectionKey struct{}
 
-// breakConnection makes the end of the caller's connection a reset. An answer that is delimited by the end of its
-// connection, as HTTP/1.0 has it, would otherwise look whole.
+// resetConnection makes the caller's HTTP/1 connection close with a TCP reset. A response that is delimited by the end of its
+// connection, as in HTTP/1.0, would otherwise look complete.
 func resetConnection(request *http.Request) {
 	connection, found := request.Context().Value(connectionKey{}).(*guardedConnection)
 	if found && request.ProtoMajor == 1 {
-		// It is about to be closed in any case.
+		// An error does not matter: the connection is closed in any case.
 		_ = connection.SetLinger(0)
 	}
 }
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -3,15 +3,15 @@
 import (
 	"context"
 	"expvar"
-	"log" //nolint:depguard // The server takes no other logger.
+	"log" //nolint:depguard // http.Server accepts no other logger.
 	"net"
 	"net/http"
 
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// NewServer returns an HTTP server for callers that takes HTTP/1.1 and HTTP/2 without encryption, with every limit that
-// keeps a slow or hostile caller from costing the others anything.
+// NewServer returns an HTTP server for callers that serves HTTP/1.1 and unencrypted HTTP/2, with limits that keep slow or hostile
+// callers from affecting others.
 func NewServer(handler *Handler, limits settings.Callers, events *expvar.Map) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -31,11 +31,11 @@
 	}
 }
 
-// EventServerError counts what the HTTP server complains of, such as connections that could not be taken for want of
-// file descriptors. Under a flood it complains for each connection, so that the lines themselves would do harm.
+// EventServerError counts the errors that the HTTP server logs, such as connections that could not be accepted because no file
+// descriptors were left. The lines themselves are not logged, since a flood of connections produces one for each of them.
 const EventServerError = "caller.serverError"
 
-// errorCounter counts the lines that the HTTP server writes to its log.
+// errorCounter is a log writer that counts lines and discards them.
 type errorCounter struct {
 	events *expvar.Map
 }
