--- a/internal/caller/accept_queue_test.go
+++ b/internal/caller/accept_queue_test.go
@@ -10,19 +10,19 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Guards against callers that are reset, their requests sent, because listening ends before their connections have been taken.
+// Guards against callers that have sent requests and are reset because listening ends before their connections are accepted.
 func TestDrainTakesConnectionsThatWait(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", settings.Callers{ConnectionsMost: 2}, &makeFixture(t, fixtureService()).registry.Events)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.True(t, listener.waitForAcceptQueue(ctx), "none waits")
+	require.True(t, listener.waitForAcceptQueue(ctx), "no connection is queued")
 	for range 2 {
 		peer, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { peer.Close() })
 	}
-	require.False(t, listener.waitForAcceptQueue(ctx), "two wait")
+	require.False(t, listener.waitForAcceptQueue(ctx), "two connections are queued")
 	drainResult := make(chan error, 1)
 	go func() { drainResult <- listener.Drain(t.Context()) }()
 	for range 2 {
--- a/internal/caller/at_most_once_test.go
+++ b/internal/caller/at_most_once_test.go
@@ -17,7 +17,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// fault is how a backend server treats one request. Cuts are given in bytes, so that each byte may be the last.
+// fault is how a backend server handles one request. cut is the number of bytes after which the connection is closed.
 type fault struct {
 	kind string
 	cut  int
@@ -26,18 +26,18 @@
 // Kinds of faults.
 const (
 	faultNone         = "none"
-	faultCloseAtOnce  = "closed before it reads"
+	faultCloseAtOnce  = "closed before the request was read"
 	faultCutRequest   = "closed within the request"
-	faultCutAfterRun  = "closed after it ran"
-	faultCutAnswer    = "closed within the answer"
+	faultCutAfterRun  = "closed after the request ran"
+	faultCutAnswer    = "closed within the response"
 	faultRefuse       = "refused as not run"
-	faultSilent       = "silent after it ran"
+	faultSilent       = "no response after the request ran"
 	faultCloseBetween = "answered, then closed"
 )
 
 const fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
 
-// faultyServers are backend servers that share a list of faults and count runs by key.
+// faultyServers are backend servers that share a list of faults and count runs by Idempotency-Key.
 type faultyServers struct {
 	mutex  sync.Mutex
 	faults []fault
@@ -74,7 +74,7 @@
 	return faultyServers.runs[key]
 }
 
-// treat serves one connection.
+// handleConnection serves one connection.
 func (faultyServers *faultyServers) handleConnection(connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
@@ -89,7 +89,7 @@
 	}
 }
 
-// one treats one request and reports whether the connection goes on.
+// handleRequest handles one request and reports whether the connection stays open.
 func (faultyServers *faultyServers) handleRequest(connection net.Conn, reader *bufio.Reader, fault fault) bool {
 	switch fault.kind {
 	case faultCloseAtOnce:
@@ -124,8 +124,8 @@
 	return fault.kind != faultCloseBetween
 }
 
-// Backend servers fail at every byte and step of an exchange, in any order, under payments and browses. No payment runs
-// twice, none that was told not to have run ran, every answer that ends cleanly is whole, and every request ends.
+// Backend servers fail at any byte and step of an exchange, in any order, for payments and idempotent requests. No payment may run
+// twice, no request whose outcome is not run may have run, every response that ends cleanly is complete, and every request ends.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	servers := &faultyServers{runs: map[string]int{}}
 	serviceSettings := fixtureService()
@@ -159,13 +159,13 @@
 	})
 }
 
-// checkOnce compares what a caller was told with what ran.
+// checkAtMostOnce compares the caller's response with the number of runs.
 func checkAtMostOnce(t *rapid.T, payment bool, got response, err error, runs int) {
 	if payment {
 		require.LessOrEqual(t, runs, 1, "a payment ran twice")
 	}
 	if err != nil {
-		// The caller's connection broke: it knows that it does not know.
+		// The caller's connection was aborted, so the outcome is unknown to the caller.
 		return
 	}
 	switch got.outcome {
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -14,8 +14,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Batches are uploaded with a length or in chunks. What they cost on the way to a server is known only if all of them are counted; a
-// scheduler that took them for empty would send them across data centres as if they were lookups.
+// Guards against uploads, with a length or chunked, whose bytes are not counted: the scheduler would treat them as empty and send
+// them across data centres as if they were lookups.
 func TestBodyLengthIsCounted(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -24,9 +24,9 @@
 	}{
 		{"none", 0, false},
 		{"small", 400, false},
-		{"small, in chunks", 400, true},
+		{"small, chunked", 400, true},
 		{"large", 60_000, false},
-		{"large, in chunks", 60_000, true},
+		{"large, chunked", 60_000, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -51,9 +51,9 @@
 	}
 }
 
-// A server refuses a batch of timesheets as not run, and another one has room. A batch that was streamed is gone with the first try, and
-// its caller has to send it all again; one that was held goes on. But many batches must not fill the instance's memory, so what
-// is held at once is bounded, and the rest is streamed as before.
+// Batches are buffered so that one that a server refused as not run can be sent to another server; a streamed one would have to
+// be sent again by its caller. Guards against many batches that exhaust the instance's memory: the total length of buffered
+// bodies is bounded, and bodies beyond the bound are streamed.
 func TestBatchesAreHeldWithinBounds(t *testing.T) {
 	const length = 300 << 10
 	dialect := NewDialect()
@@ -70,7 +70,7 @@
 		require.Nil(t, call.body.prepare(call))
 		return call
 	}
-	require.False(t, upload(600<<10).body.replayable() && upload(600<<10).body.stream == nil, "longer than the dialect allows")
+	require.False(t, upload(600<<10).body.replayable() && upload(600<<10).body.stream == nil, "a body longer than the dialect's limit is streamed")
 	var held []*call
 	for range maxBufferedBodyBytes / length {
 		call := upload(length)
@@ -78,8 +78,8 @@
 		require.Nil(t, call.body.stream)
 		held = append(held, call)
 	}
-	require.NotNil(t, upload(length).body.stream, "no more than the bound")
-	require.Nil(t, upload(1<<10).body.stream, "small ones are always read")
+	require.NotNil(t, upload(length).body.stream, "a body beyond the total limit is streamed")
+	require.Nil(t, upload(1<<10).body.stream, "a small body is always buffered")
 	for _, call := range held {
 		call.body.finish(handler)
 	}
--- a/internal/caller/drain_test.go
+++ b/internal/caller/drain_test.go
@@ -20,7 +20,7 @@
 
 const slotsRequest = "GET /slots HTTP/1.1\r\nHost: " + fixtureHost + "\r\n\r\n"
 
-// drained is an instance whose backend server answers when it is told to.
+// drainFixture is an instance whose backend server responds on a signal.
 type drainFixture struct {
 	*fixture
 	listener *Listener
@@ -49,7 +49,7 @@
 	return drainFixture
 }
 
-// caller is one connection to the instance.
+// callerConnection is a caller's connection to the instance.
 type callerConnection struct {
 	net.Conn
 	reader *bufio.Reader
@@ -78,7 +78,7 @@
 	return response, err
 }
 
-// Guards against requests that are read and never answered, and against connections that hold up an instance that leaves.
+// Guards against requests that are read but never answered, and against idle connections that delay the drain.
 func TestDrainAnswersWhatItReadsAndEndsTheRest(t *testing.T) {
 	drainFixture := newDrainFixture(t)
 	idle, busy, late, unused := drainFixture.dial(t), drainFixture.dial(t), drainFixture.dial(t), drainFixture.dial(t)
@@ -93,7 +93,7 @@
 	drainFixture.handler.Drain(0, clock.Minute)
 	go func() { drainResult <- drainFixture.listener.Drain(context.Background()) }()
 	_, err = idle.readResponse()
-	require.ErrorIs(t, err, io.ErrUnexpectedEOF, "it waits for a request and none has come")
+	require.ErrorIs(t, err, io.ErrUnexpectedEOF, "an idle connection is closed")
 	late.sendRequest(t)
 	<-drainFixture.reached
 	close(drainFixture.respond)
@@ -101,14 +101,14 @@
 		response, err := connection.readResponse()
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.StatusCode)
-		require.True(t, response.Close, "the caller is told that the connection ends")
+		require.True(t, response.Close, "the response says that the connection is closed")
 	}
 	_, err = unused.readResponse()
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.NoError(t, <-drainResult)
 }
 
-// Guards against requests that an instance takes although they can't end before it does.
+// Guards against requests that a draining instance accepts although they may last longer than the drain.
 func TestDrainRefusesWhatItCannotFinish(t *testing.T) {
 	drainFixture := newDrainFixture(t)
 	connection := drainFixture.dial(t)
@@ -123,7 +123,7 @@
 	require.Empty(t, drainFixture.reached)
 }
 
-// acceptOne returns both ends of a connection to a listener for callers.
+// acceptOne returns both ends of a connection to a Listener, the caller's end first.
 func acceptOne(t *testing.T) (net.Conn, *guardedConnection) {
 	listener, err := Listen("127.0.0.1:0", settings.Callers{ConnectionsMost: 1}, &makeFixture(t, fixtureService()).registry.Events)
 	require.NoError(t, err)
@@ -145,12 +145,12 @@
 		name    string
 		before  func(*guardedConnection)
 		arrived bool
-		// ends says that the connection ends rather than wait.
+		// ends means that the connection is closed instead of waiting for a request.
 		ends bool
 	}{
-		{"nothing has come on a kept one", func(*guardedConnection) {}, false, true},
-		{"a request has come", func(*guardedConnection) {}, true, false},
-		{"a request is being handled", func(guarded *guardedConnection) { guarded.setState(http.StateActive) }, false, false},
+		{"idle connection without data", func(*guardedConnection) {}, false, true},
+		{"request has arrived", func(*guardedConnection) {}, true, false},
+		{"request is being handled", func(guarded *guardedConnection) { guarded.setState(http.StateActive) }, false, false},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Guards against a connection that is closed as idle although a request waits in it to be read.
+// Guards against a connection that is closed as idle although a request waits in its receive buffer.
 func TestRetiredConnectionKeepsTheRequestThatWaitsToBeRead(t *testing.T) {
 	for _, state := range []http.ConnState{http.StateNew, http.StateIdle} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -196,13 +196,13 @@
 	}
 }
 
-// Guards against a multiplexed connection without a request that holds up an instance that leaves.
+// Guards against an HTTP/2 connection without a request that delays the drain.
 func TestDrainWaitsForNoMultiplexedConnection(t *testing.T) {
 	drainFixture := newDrainFixture(t)
 	connection := drainFixture.dial(t)
 	_, err := io.WriteString(connection, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00")
 	require.NoError(t, err)
-	// The server's settings, the window, and its word that it has read those of the caller.
+	// Reads the server's SETTINGS and WINDOW_UPDATE frames until it acknowledges the client's SETTINGS.
 	const acknowledgement = "\x00\x00\x00\x04\x01\x00\x00\x00\x00"
 	var received []byte
 	for !bytes.Contains(received, []byte(acknowledgement)) {
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -22,7 +22,7 @@
 
 const fixtureHost = "book.example"
 
-// fixture is one instance's traffic side on loopback, without control: a fixed table and warm targets.
+// fixture is an instance that handles requests on loopback, with a fixed routing table and warm targets and without a control plane.
 type fixture struct {
 	table    *routing.Table
 	registry *metrics.Registry
@@ -31,7 +31,7 @@
 	address  string
 }
 
-// fixtureStall is the longest pause within a body that a fixture allows; a test may change it before it makes one.
+// fixtureMaxStall is the MaxStall of new fixtures; a test may change it before it creates one.
 var fixtureMaxStall = 30 * clock.Second
 
 func fixtureService() *settings.Service {
@@ -61,7 +61,7 @@
 	return fixture
 }
 
-// makeFixture makes the same without taking any connection.
+// makeFixture returns the same fixture without a listener.
 func makeFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
 	fixture := &fixture{registry: metrics.NewRegistry(), traces: trace.NewRing(64)}
 	clock := clock.New()
@@ -99,7 +99,7 @@
 	return server.Listener.Addr().String()
 }
 
-// startRawBackend starts a backend server that treats each connection as given.
+// startRawBackend starts a backend server that calls handle for each connection.
 func startRawBackend(t testing.TB, handle func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -116,7 +116,7 @@
 	return listener.Addr().String()
 }
 
-// newRequest builds a request to the fixture's service.
+// newRequest returns a request to the fixture's service.
 func (fixture *fixture) newRequest(t testing.TB, method, path string, body io.Reader) *http.Request {
 	request, err := http.NewRequest(method, "http://"+fixture.address+path, body)
 	require.NoError(t, err)
@@ -124,7 +124,7 @@
 	return request
 }
 
-// answer is a whole answer.
+// response is a completely read response.
 type response struct {
 	status  int
 	header  http.Header
@@ -134,7 +134,7 @@
 	reason  outcome.Reason
 }
 
-// send sends a request on a connection of its own and reads the whole answer.
+// send sends a request on a new connection and reads the whole response.
 func (fixture *fixture) send(t testing.TB, request *http.Request) response {
 	got, err := sendWhole(request)
 	require.NoError(t, err)
--- a/internal/caller/forward_test.go
+++ b/internal/caller/forward_test.go
@@ -17,7 +17,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// runOnceThenCut answers the first request on each connection and reads the second one whole, then breaks off.
+// runOnceThenCut answers the first request on each connection, reads the second one completely and closes the connection.
 func runOnceThenCut(runs *atomic.Int64) func(net.Conn) {
 	return func(connection net.Conn) {
 		defer connection.Close()
@@ -41,9 +41,8 @@
 	}
 }
 
-// A backend server takes a payment on a connection that has been used before and dies before it answers. Sending the
-// payment again would charge a family twice, which nobody would notice until they complain; the caller is told that
-// it may have run instead.
+// Guards against a payment that runs twice: a backend server reads it on a reused connection and dies before it responds. The
+// payment must not be sent again, and its outcome is unknown.
 func TestPaymentOnDyingConnectionRunsOnce(t *testing.T) {
 	cases := []struct{ name, key, body string }{
 		{"with a key and a body", "key-1", "amount=20"},
@@ -68,8 +67,8 @@
 	}
 }
 
-// The same happens to a browse, which does no harm when it runs twice: it goes to another backend server and its caller
-// notices nothing.
+// An idempotent request whose backend server closes the connection without a response is retried on another server, and the
+// caller gets a response.
 func TestIdempotentRequestGoesElsewhere(t *testing.T) {
 	cutting := startRawBackend(t, func(connection net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(connection))
@@ -87,8 +86,8 @@
 	require.Positive(t, fixture.registry.View().Classes["rodopa/booking/look"].Retries)
 }
 
-// A backend server that sheds load says that it did not run the payment. Then it is sent to another one, with its body
-// whole, and runs there once.
+// A payment that an overloaded backend server refuses as not run is sent to another server, with its complete body, and runs
+// there once.
 func TestRefusedPaymentGoesElsewhere(t *testing.T) {
 	var runs atomic.Int64
 	refusing := startBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
@@ -109,8 +108,8 @@
 	require.EqualValues(t, 8, runs.Load())
 }
 
-// A backend server refuses a large payment after it has read a part of it. That part is gone, so sending the rest to
-// another server would run a payment that nobody asked for; the caller is told to send it anew.
+// Guards against a truncated payment: a backend server refuses a streamed payment after it has read a part of it, and only the
+// rest could be sent to another server. The request must end as not run instead.
 func TestStreamedBodyIsNotSentTwice(t *testing.T) {
 	part := strings.Repeat("x", 64<<10)
 	refusing := startBackend(t, func(writer http.ResponseWriter, request *http.Request) {
@@ -134,7 +133,7 @@
 	require.Equal(t, 10, outcomes[outcome.NotRun]+outcomes[outcome.Answered])
 }
 
-// When every backend server refuses, the caller learns at once that the payment did not run and when to come back.
+// If every backend server refuses a payment, its outcome is not run and the response has a Retry-After.
 func TestAllRefuse(t *testing.T) {
 	var asked atomic.Int64
 	refuse := func(writer http.ResponseWriter, _ *http.Request) {
@@ -151,7 +150,7 @@
 	require.LessOrEqual(t, asked.Load(), int64(3))
 }
 
-// Nothing listens at the backend server's address any more. No byte of the payment left, so it did not run.
+// A payment whose backend server refuses the connection has not run, since no byte of it was sent.
 func TestConnectionRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -163,8 +162,8 @@
 	require.Equal(t, outcome.ReasonConnect, response.reason)
 }
 
-// A backend server never answers. When the caller's time is over the caller is told so, and told that the request may
-// have run.
+// If a backend server does not respond within the caller's timeout, the request ends with reason deadline, and its outcome is
+// unknown.
 func TestDeadline(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -182,11 +181,11 @@
 	require.Equal(t, outcome.ReasonDeadline, response.reason)
 	passed, err := strconv.Atoi(<-given)
 	require.NoError(t, err)
-	require.LessOrEqual(t, passed, 100, "the time passed on must not grow")
+	require.LessOrEqual(t, passed, 100, "the forwarded timeout must not exceed the caller's")
 	require.Positive(t, passed)
 }
 
-// The caller goes away while its request runs. The backend server is told, so that it can stop working for nobody.
+// If the caller disconnects while its request runs, the request to the backend server is cancelled.
 func TestCallerGoes(t *testing.T) {
 	arrived := make(chan struct{})
 	cancelled := make(chan struct{})
@@ -205,8 +204,8 @@
 	<-cancelled
 }
 
-// A caller asks for an excerpt and stops reading. After a while its connection is given up, so that the backend server's
-// place is free for others.
+// Guards against a caller that stops reading a response and so holds a permit of the backend server indefinitely. The request is
+// aborted after MaxStall.
 func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
 	fixtureMaxStall = 50 * clock.Millisecond
 	t.Cleanup(func() { fixtureMaxStall = 30 * clock.Second })
@@ -229,7 +228,8 @@
 	<-cancelled
 }
 
-// A nested call that is a retry already is not retried here: each of nine levels would multiply it.
+// Guards against retries that multiply in nested calls, which are up to nine levels deep: a request that is already a retry is
+// not retried.
 func TestRetryIsNotRetried(t *testing.T) {
 	var asked atomic.Int64
 	cutting := startRawBackend(t, func(connection net.Conn) {
@@ -245,7 +245,7 @@
 	require.EqualValues(t, 1, asked.Load())
 }
 
-// Explain tells each choice of one request: here a first server that broke off, and the second one that answered.
+// The trace of a request has each attempt: here one that was cut off and one that another server answered.
 func TestRequestTrace(t *testing.T) {
 	cutting := startRawBackend(t, func(connection net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(connection))
@@ -270,5 +270,5 @@
 			return
 		}
 	}
-	t.Fatal("the cutting server was never chosen first")
+	t.Fatal("no first attempt went to the server that cuts connections")
 }
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzRawRequest sends anything at all to an instance. Whatever it is, the next caller is served.
+// FuzzRawRequest sends arbitrary bytes to an instance, which must still serve the next caller.
 func FuzzRawRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: book.example\r\n\r\n"))
 	f.Add([]byte("POST /payments HTTP/1.1\r\nHost: book.example\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"))
@@ -24,7 +24,7 @@
 		require.NoError(t, err)
 		_, _ = connection.Write(text)
 		if half, canHalfClose := connection.(*net.TCPConn); canHalfClose {
-			// The instance may have broken the connection off already.
+			// The instance may have closed the connection already.
 			_ = half.CloseWrite()
 		}
 		_ = connection.SetReadDeadline(time.Now().Add(maxWait))
@@ -35,8 +35,7 @@
 	})
 }
 
-// FuzzHeadGuard feeds heads in pieces of any size. The guard finds a length exactly when a line of the head begins with
-// that header's name.
+// FuzzHeadGuard feeds heads to the guard in pieces of any size. The state of the guard must not depend on the size of the pieces.
 func FuzzHeadGuard(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabcd"), uint8(3))
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\nX: content-length\n\n"), uint8(1))
--- a/internal/caller/hedge_test.go
+++ b/internal/caller/hedge_test.go
@@ -10,7 +10,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Guards against a refusal that is passed on as an answer, and a place given back twice, because another copy of the request may have run.
+// Guards against a refusal that is forwarded as a response, and a permit that is released twice, because the hedged request may
+// have run.
 func TestTwoCopiesWithoutAnswerStayUnanswered(t *testing.T) {
 	cut := func(*testing.T) attempt { return attempt{err: errors.New("cut")} }
 	refused := func(t *testing.T) attempt {
--- a/internal/caller/identity_test.go
+++ b/internal/caller/identity_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a key that is read out of a header in which a backend server, or another instance, would read another one.
+// Guards against a header from which a backend server or another instance would read a different API key.
 func FuzzReadKey(f *testing.F) {
 	for _, text := range []string{"Bearer k", "bearer k", "Bearer  k", "Bearer k,l", "Bearer k l", "Basic k", "Bearer", "Bearer ", "", "k", "Bearer \t"} {
 		f.Add(text)
--- a/internal/caller/pause_test.go
+++ b/internal/caller/pause_test.go
@@ -12,7 +12,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// multiplexedClient speaks HTTP/2 without encryption.
+// multiplexedClient returns a client for unencrypted HTTP/2.
 func multiplexedClient(t *testing.T) *http.Client {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
@@ -21,16 +21,16 @@
 	return &http.Client{Transport: transport}
 }
 
-// Guards against answers that are cut, or lose their end, in a pause of their backend server.
+// Guards against responses that are cut off or lose their end because their backend server pauses for longer than MaxStall.
 func TestPauseWithinAnAnswerCutsNothing(t *testing.T) {
 	cases := []struct {
 		name   string
 		client *http.Client
 		last   string
 	}{
-		{"before the rest, multiplexed", multiplexedClient(t), "second"},
-		{"before the end, multiplexed", multiplexedClient(t), ""},
-		{"before the rest", http.DefaultClient, "second"},
+		{"before the last part, HTTP/2", multiplexedClient(t), "second"},
+		{"before the end, HTTP/2", multiplexedClient(t), ""},
+		{"before the last part", http.DefaultClient, "second"},
 		{"before the end", http.DefaultClient, ""},
 	}
 	shortenMaxStall(t)
@@ -54,14 +54,14 @@
 	}
 }
 
-// shorten makes the longest pause of a caller short.
+// shortenMaxStall shortens the MaxStall of fixtures for the test.
 func shortenMaxStall(t *testing.T) {
 	before := fixtureMaxStall
 	fixtureMaxStall = clock.Second
 	t.Cleanup(func() { fixtureMaxStall = before })
 }
 
-// pause lasts for twice as long as a caller may pause.
+// pause waits for twice MaxStall, or until the request is cancelled.
 func pause(request *http.Request) {
 	select {
 	case <-request.Context().Done():
@@ -69,20 +69,21 @@
 	}
 }
 
-// deadlineWriter is an answer whose connection notes the deadline of its reads.
+// deadlineWriter is a response writer that records the read deadline of its connection.
 type deadlineWriter struct {
 	*httptest.ResponseRecorder
 
 	deadline time.Time
 }
 
-// SetReadDeadline is found by http.ResponseController.
+// SetReadDeadline is called by http.ResponseController.
 func (deadlineWriter *deadlineWriter) SetReadDeadline(deadline time.Time) error {
 	deadlineWriter.deadline = deadline
 	return nil
 }
 
-// Guards against uploads on a multiplexed connection that are cut while their backend server doesn't read.
+// Guards against uploads over HTTP/2 that are cut off while their backend server does not read: a read deadline must be cleared
+// after the read.
 func TestNoDeadlineOutlastsARead(t *testing.T) {
 	writer := &deadlineWriter{ResponseRecorder: httptest.NewRecorder()}
 	var during time.Time
@@ -98,7 +99,7 @@
 	require.Zero(t, writer.deadline)
 }
 
-// readerFunc is a function as a reader.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func([]byte) (int, error)
 
 // Read implements io.Reader.
--- a/internal/caller/refusal_test.go
+++ b/internal/caller/refusal_test.go
@@ -20,7 +20,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Whatever is refused was sent to no backend server, and its caller is told so and why.
+// A rejected request is not sent to any backend server, and its response has the outcome not run and the reason.
 func TestRefusals(t *testing.T) {
 	ran := func(http.ResponseWriter, *http.Request) { t.Error("a refused request reached a backend server") }
 	fixture := newFixture(t, fixtureService(), startBackend(t, ran))
@@ -32,9 +32,9 @@
 		{"unknown host", "GET", "else.example", "/", "", "", 404, outcome.ReasonNoService},
 		{"unknown method", "PATCH", fixtureHost, "/payments", "", "", 405, outcome.ReasonNoService},
 		{"method at the wrong path", "POST", fixtureHost, "/paymentsx", "", "", 405, outcome.ReasonNoService},
-		{"timeout that is no number", "GET", fixtureHost, "/", "soon", "", 400, outcome.ReasonBadRequest},
-		{"timeout of nothing", "GET", fixtureHost, "/", "0", "", 400, outcome.ReasonBadRequest},
-		{"path that goes up", "GET", fixtureHost, "/slots/%2e%2e/payments", "", "", 400, outcome.ReasonBadRequest},
+		{"malformed timeout", "GET", fixtureHost, "/", "soon", "", 400, outcome.ReasonBadRequest},
+		{"timeout of zero", "GET", fixtureHost, "/", "0", "", 400, outcome.ReasonBadRequest},
+		{"path with dot segments", "GET", fixtureHost, "/slots/%2e%2e/payments", "", "", 400, outcome.ReasonBadRequest},
 		{"body too large", "GET", fixtureHost, "/", "", strings.Repeat("x", 2000), 413, outcome.ReasonBodyTooLarge},
 	}
 	for _, testCase := range cases {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Before there are settings nothing can be routed; the caller is told to come back.
+// An instance without settings rejects requests with a Retry-After.
 func TestNoSettings(t *testing.T) {
 	fixture := newFixture(t, fixtureService())
 	fixture.table = nil
@@ -63,8 +63,8 @@
 	require.Equal(t, "1", response.header.Get("Retry-After"))
 }
 
-// All places are taken and as many requests wait as may. The next one is refused at once, and a payment takes the
-// place of a waiting browse.
+// If all permits are in use and the queue is full, the next request is rejected at once, and a payment, which has a higher
+// priority, evicts a queued browse request.
 func TestQueueFull(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 100)
@@ -113,8 +113,8 @@
 	}, maxWait, pollInterval)
 }
 
-// Two servers that disagree about where a request ends can be made to take one caller's bytes for another's request.
-// Every such shape is refused, and the connection ends so that nothing after it is read.
+// Guards against request smuggling, by which servers that disagree about the end of a request treat a part of its body as another
+// request. Every ambiguous request is rejected, and the connection is closed so that nothing after the request is read.
 func TestSmugglingShapesRefused(t *testing.T) {
 	cases := []struct{ name, text string }{
 		{"both lengths", "POST /payments HTTP/1.1\r\nHost: H\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
@@ -149,15 +149,15 @@
 			response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(text))), nil)
 			require.NoError(t, err)
 			require.GreaterOrEqual(t, response.StatusCode, 400)
-			require.Equal(t, 1, strings.Count(string(text), "HTTP/1.1 "), "only one answer: %s", text)
+			require.Equal(t, 1, strings.Count(string(text), "HTTP/1.1 "), "only one response: %s", text)
 			require.False(t, smuggled.Load())
 			refusedHere := strings.Contains(string(text), outcome.HeaderOutcome)
-			require.True(t, refusedHere || fixture.registry.View().Events[EventUnfinished] == 1, "it is counted")
+			require.True(t, refusedHere || fixture.registry.View().Events[EventUnfinished] == 1, "the rejection is counted")
 		})
 	}
 }
 
-// A chunked upload alone is nothing bad, also when several follow each other.
+// Chunked uploads without a Content-Length are accepted, several in succession too.
 func TestChunkedUploadsPass(t *testing.T) {
 	fixture := newFixture(t, fixtureService(), startBackend(t, func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
@@ -177,7 +177,7 @@
 	}
 }
 
-// A flood of header lines is refused before it takes memory.
+// A request whose header is too large is rejected.
 func TestHeaderFlood(t *testing.T) {
 	fixture := newFixture(t, fixtureService())
 	request := fixture.newRequest(t, http.MethodGet, "/", http.NoBody)
@@ -188,7 +188,7 @@
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, response.StatusCode)
 }
 
-// pipeListener hands over connections that were made in memory, so that time in the test is the bubble's.
+// pipeListener accepts in-memory connections, whose time is that of the synctest bubble.
 type pipeListener struct {
 	connections chan net.Conn
 	once        sync.Once
@@ -212,8 +212,8 @@
 // Addr implements net.Listener.
 func (pipeListener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller sends its head a byte at a time and never comes to the end, on as many connections as it can get. Each is
-// closed when the time for a head is over, so that they do not pile up.
+// Guards against connections that accumulate because their callers send a request's head a byte at a time and never complete it:
+// each is closed after the header timeout.
 func TestSlowHeadIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := settings.Callers{HeaderMost: 8 << 10, HeaderTimeout: 5000, IdleMost: 60000}
@@ -233,7 +233,7 @@
 	})
 }
 
-// servePipe starts an instance without backend servers, and returns it with a caller's end of a connection to it.
+// servePipe starts an instance without reachable backend servers, and returns its server and the caller's end of a connection.
 func servePipe(t *testing.T) (*http.Server, net.Conn) {
 	fixture := makeFixture(t, fixtureService(), "127.0.0.1:1")
 	limits := settings.Callers{HeaderMost: 8 << 10, HeaderTimeout: 5000, IdleMost: 60000}
@@ -245,9 +245,8 @@
 	return server, client
 }
 
-// A caller sends a part of its payment and then nothing, and never goes away. It must not hold a place on a backend
-// server, nor its connection for ever; and when the request is refused for another reason, the answer does not wait for
-// a body that may never come.
+// Guards against a caller that sends a part of a body, then nothing, and does not disconnect: it must not hold a permit of a backend
+// server, nor its connection indefinitely, and a rejection for another reason must not wait for the rest of the body.
 func TestStalledBodyIsRefused(t *testing.T) {
 	cases := []struct {
 		name, host string
@@ -255,7 +254,7 @@
 		reason     outcome.Reason
 	}{
 		{"payment", fixtureHost, http.StatusBadRequest, outcome.ReasonBodyUnreadable},
-		{"payment to nobody", "else.example", http.StatusNotFound, outcome.ReasonNoService},
+		{"payment to an unknown host", "else.example", http.StatusNotFound, outcome.ReasonNoService},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -267,7 +266,7 @@
 				require.NoError(t, err)
 				require.Equal(t, testCase.status, response.StatusCode)
 				require.Equal(t, string(testCase.reason), response.Header.Get(outcome.HeaderReason))
-				require.True(t, response.Close, "the connection ends with the answer")
+				require.True(t, response.Close, "the connection is closed after the response")
 				client.Close()
 				require.NoError(t, server.Close())
 			})
@@ -275,8 +274,8 @@
 	}
 }
 
-// A caller sends its batch a byte at a time, each soon enough. Its request has a time within which it is to be answered, and nothing of
-// it has run; it is told so then, and may come again, in place of being listened to for as long as it likes.
+// Guards against a caller that sends its body a byte at a time, each within MaxStall, and so holds its connection indefinitely: at
+// the request's deadline the request is rejected as not run, and the caller may retry it.
 func TestTricklingBodyEndsWithItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, client := servePipe(t)
@@ -304,7 +303,7 @@
 	})
 }
 
-// The address answer names the serving instances, how long it may be kept, and the settings it comes from.
+// The addresses response has the serving instances, its TTL and the revision of the settings it comes from.
 func TestAddresses(t *testing.T) {
 	fixture := newFixture(t, fixtureService())
 	response, err := http.Get("http://" + fixture.address + AddressesPath + "?service=booking")
--- a/internal/caller/response_test.go
+++ b/internal/caller/response_test.go
@@ -14,7 +14,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// cutAnswers are answers that break off before their end, as they pass over the wire.
+// truncatedResponses are responses that are cut off before their end, as sent on the wire.
 var truncatedResponses = []struct{ name, text string }{
 	{"within a known length", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"},
 	{"within a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n64\r\nhalf of it"},
@@ -22,8 +22,8 @@
 	{"before the trailer ends", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n"},
 }
 
-// A backend server dies while it answers. A caller that got a clean end would keep half a panel schedule as the whole
-// one; its connection is broken instead, in each protocol in which it may have asked.
+// Guards against a truncated response that the caller takes for complete: if a backend server dies while it sends a response,
+// the caller's connection must be aborted, for each protocol.
 func TestCutAnswerNeverEndsCleanly(t *testing.T) {
 	protocols := []struct {
 		name string
@@ -72,7 +72,7 @@
 	return err
 }
 
-// readOverHTTP10 reads to the end of the connection, which is how HTTP/1.0 delimits an answer of unknown length.
+// readOverHTTP10 reads to the end of the connection, which delimits an HTTP/1.0 response of unknown length.
 func readOverHTTP10(t *testing.T, fixture *fixture) error {
 	connection, err := net.Dial("tcp", fixture.address)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 	return err
 }
 
-// What belongs to one connection, or speaks in jaywheel's name, is not passed on; everything else is.
+// Hop-by-hop headers and headers that only jaywheel may set are not forwarded; all others are.
 func TestHeadersPassed(t *testing.T) {
 	var seen http.Header
 	backend := startBackend(t, func(writer http.ResponseWriter, request *http.Request) {
@@ -110,7 +110,7 @@
 	request.Header.Set("X-Kept", "yes")
 	request.Header.Set(outcome.HeaderOutcome, "answered")
 	response := fixture.send(t, request)
-	require.Equal(t, http.StatusFound, response.status, "a redirect is passed on, not followed")
+	require.Equal(t, http.StatusFound, response.status, "a redirect is forwarded, not followed")
 	require.Equal(t, outcome.Answered, response.outcome)
 	require.Equal(t, "yes", response.header.Get("X-Kept"))
 	require.Empty(t, response.header.Get("X-Hop"))
@@ -123,7 +123,7 @@
 	require.Contains(t, seen.Get("Via"), "entry-1")
 }
 
-// Answers without a body keep the header that describes it, and end the request at once.
+// Responses without a body keep the header that describes the body, and end the request at once.
 func TestAnswersWithoutBody(t *testing.T) {
 	cases := []struct {
 		method string
@@ -153,7 +153,7 @@
 	}
 }
 
-// Trailers come after the body, early hints before the answer; both reach the caller.
+// Trailers after the body and early hints before the response are forwarded to the caller.
 func TestTrailersAndHints(t *testing.T) {
 	backend := startBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Link", "</style.css>; rel=preload")
@@ -183,8 +183,8 @@
 	require.Equal(t, "42", response.Trailer.Get("Checksum"))
 }
 
-// An answer that comes bit by bit reaches its caller bit by bit: the second part is made only once the first has been
-// read.
+// A streamed response is forwarded as it arrives: the backend server sends the second part only when the caller has read the
+// first one.
 func TestAnswerStreams(t *testing.T) {
 	read := make(chan struct{})
 	backend := startBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
@@ -206,7 +206,7 @@
 	require.Equal(t, "first second", string(first)+string(rest))
 }
 
-// A request that comes bit by bit reaches the backend server bit by bit.
+// A streamed request body is forwarded as it arrives.
 func TestRequestStreams(t *testing.T) {
 	arrived := make(chan string, 1)
 	backend := startBackend(t, func(writer http.ResponseWriter, request *http.Request) {
@@ -228,7 +228,7 @@
 	require.Equal(t, "first second", response.body)
 }
 
-// Many callers at once, whose requests end in any order, each get the answer to their own.
+// Guards against responses that reach the wrong caller when many requests run concurrently and end in any order.
 func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
 	echo := func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.WriteString(writer, strings.Repeat(request.URL.RawQuery+" ", 100))
--- a/internal/caller/stalled_test.go
+++ b/internal/caller/stalled_test.go
@@ -15,7 +15,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// Guards against requests that end without an answer because the read of a streamed body outlasts their time.
+// Guards against requests that end without a response because a read of the streamed body outlasts the deadline.
 func TestRequestWithAStalledBodyIsAnsweredInTime(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -24,9 +24,9 @@
 		end     func(*Handler)
 		reason  outcome.Reason
 	}{
-		{"in chunks, the instance leaves", "Transfer-Encoding: chunked", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
-		{"long, the instance leaves", "Content-Length: 100000", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
-		{"in chunks, its time is over", "Transfer-Encoding: chunked", 300 * clock.Millisecond, func(*Handler) {}, outcome.ReasonDeadline},
+		{"chunked body, instance drains", "Transfer-Encoding: chunked", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
+		{"long body, instance drains", "Content-Length: 100000", clock.Minute, func(handler *Handler) { handler.cancelAll(errDraining) }, outcome.ReasonLeaving},
+		{"chunked body, deadline exceeded", "Transfer-Encoding: chunked", 300 * clock.Millisecond, func(*Handler) {}, outcome.ReasonDeadline},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/caller/wait_test.go
+++ b/internal/caller/wait_test.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Bounds of waiting for another goroutine; only a broken test reaches the first.
+// Limits for waiting for another goroutine; maxWait is reached only if a test fails.
 const (
 	maxWait      = time.Minute
 	pollInterval = time.Millisecond
 )
 
-// sleepInBubble lets the clock of a synctest bubble run for a second.
+// sleepInBubble advances the clock of a synctest bubble by a second.
 func sleepInBubble() {
 	<-time.After(time.Second)
 }
