--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -73,6 +73,6 @@
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// Encoding fails only if the caller has disconnected.
+	// An error is ignored: the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -232,7 +232,7 @@
 	callerBody.complete.Store(true)
 }
 
-// readDeadlineExceeded reports whether the latest read failed because readDeadline has passed.
+// readDeadlineExceeded reports whether readDeadline limited the latest read and has passed.
 func (callerBody *callerBody) readDeadlineExceeded() bool {
 	return callerBody.cappedByReadDeadline && !time.Now().Before(callerBody.readDeadline)
 }
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -190,7 +190,7 @@
 	call.setWriteDeadline()
 	call.writer.WriteHeader(errorResponse.status)
 	if call.request.Method != http.MethodHead {
-		// The write fails only if the caller has disconnected.
+		// An error is ignored: the caller has disconnected or does not read.
 		_, _ = call.writer.Write([]byte(text))
 	}
 	call.record(errorResponse.status, errorResponse.outcome, errorResponse.reason, errorResponse.cause)
--- a/internal/caller/connection.go
+++ b/internal/caller/connection.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// guardedConnection is a caller's connection whose request heads are inspected by a headGuard. While it is closing, it is closed
-// as soon as it would wait for a request; a request that has been read is still handled.
+// guardedConnection is a caller's connection whose request heads are inspected by a headGuard. After closeWhenIdle, it
+// ends as soon as it would wait for a request; a request that has been read is still handled.
 type guardedConnection struct {
 	*net.TCPConn
 	guard headGuard
--- a/internal/caller/drain.go
+++ b/internal/caller/drain.go
@@ -11,7 +11,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// errDraining is the cause of cancelling the requests that are still in flight at the end of the drain.
+// errDraining is the cause with which requests that are still in flight at the end of the drain are cancelled.
 var errDraining = errors.New("instance is shutting down and the request cannot end in time")
 
 // drainRetryAfter is the retry delay for a request that has not run because the instance is draining. Other instances serve
--- a/internal/caller/drain_test.go
+++ b/internal/caller/drain_test.go
@@ -140,7 +140,7 @@
 }
 
 // Guards against a connection that is closed as idle between the arrival of a request and its handling.
-func TestRetiredConnectionKeepsTheRequestThatHasArrived(t *testing.T) {
+func TestClosingConnectionKeepsTheRequestThatHasArrived(t *testing.T) {
 	cases := []struct {
 		name    string
 		before  func(*guardedConnection)
@@ -175,7 +175,7 @@
 }
 
 // Guards against a connection that is closed as idle although a request waits in its receive buffer.
-func TestRetiredConnectionKeepsTheRequestThatWaitsToBeRead(t *testing.T) {
+func TestClosingConnectionKeepsTheRequestThatWaitsToBeRead(t *testing.T) {
 	for _, state := range []http.ConnState{http.StateNew, http.StateIdle} {
 		t.Run(state.String(), func(t *testing.T) {
 			peer, guarded := acceptOne(t)
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -42,7 +42,7 @@
 }
 
 // Listen listens for callers on the TCP address, and limits the number of open connections to limits.ConnectionsMost. It counts
-// EventUnfinished in events.
+// EventUnfinished in events. It returns an error if the address cannot be resolved or listened on.
 func Listen(address string, limits settings.Callers, events *expvar.Map) (*Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -109,6 +109,7 @@
 	listener.checkDrained()
 }
 
+// checkDrained closes drained if the listener is draining and no connection is open or being accepted.
 func (listener *Listener) checkDrained() {
 	if !listener.draining || listener.accepting || len(listener.open) > 0 {
 		return
@@ -126,8 +127,9 @@
 	return listener.TCPListener.Close()
 }
 
-// Drain accepts the connections that are already queued, stops listening, closes connections that wait for a request, and returns
-// when all others have been closed after their current request. It returns an error if ctx is done before that.
+// Drain waits briefly until the connections that are already queued have been accepted, stops listening, closes connections that
+// wait for a request, and returns when all others have been closed after their current request. It returns an error if ctx is
+// done before that.
 // http.Server.Shutdown, which closes multiplexed connections gracefully, must be called after Drain: it drops requests that have
 // been read but not handled yet.
 func (listener *Listener) Drain(ctx context.Context) error {
@@ -180,6 +182,7 @@
 	return err == nil && count > 0
 }
 
+// closeWhenIdle marks the listener as draining and calls closeWhenIdle for each open connection.
 func (listener *Listener) closeWhenIdle(includeNew bool) {
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
