--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -17,62 +17,62 @@
 	DataCentre settings.DataCentreName `json:"dataCentre"`
 }
 
-// Addresses is the answer to which instances a caller should use for a service.
+// Addresses is the response that lists the instances that a caller may use for a service.
 type Addresses struct {
 	Service   settings.ServiceName `json:"service"`
 	Addresses []Address            `json:"addresses"`
-	// Keep is how long the answer may be used.
-	Keep clock.Milliseconds `json:"keep"`
-	// Revision is the site's settings that the answer comes from.
+	// TTL is how long the addresses may be cached.
+	TTL clock.Milliseconds `json:"keep"`
+	// Revision is the revision of the site's settings that the addresses come from.
 	Revision settings.Revision `json:"revision"`
 }
 
-// refused is the answer when there are no addresses to give.
-type refused struct {
+// addressesError is the response if there are no addresses to return.
+type addressesError struct {
 	Error string `json:"error"`
 }
 
-// serveAddresses answers GET AddressesPath?service=NAME.
+// serveAddresses handles GET AddressesPath?service=NAME.
 func (handler *Handler) serveAddresses(writer http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet {
 		writer.Header().Set("Allow", http.MethodGet)
-		handler.refuseAddresses(writer, http.StatusMethodNotAllowed, "only GET is answered here")
+		handler.respondAddressesError(writer, http.StatusMethodNotAllowed, "only GET is supported")
 		return
 	}
 	table := handler.options.Table()
 	if table == nil {
-		handler.refuseAddresses(writer, http.StatusServiceUnavailable, "no settings yet")
+		handler.respondAddressesError(writer, http.StatusServiceUnavailable, "no settings yet")
 		return
 	}
 	name := settings.ServiceName(request.URL.Query().Get("service"))
-	found, known := table.Service(name)
+	service, known := table.Service(name)
 	if !known {
-		handler.refuseAddresses(writer, http.StatusNotFound, "no service "+strconv.Quote(string(name)))
+		handler.respondAddressesError(writer, http.StatusNotFound, "unknown service "+strconv.Quote(string(name)))
 		return
 	}
-	answer := Addresses{Service: name, Keep: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
-	for _, instance := range found.Serving {
-		answer.Addresses = append(answer.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
+	addresses := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
+	for _, instance := range service.Serving {
+		addresses.Addresses = append(addresses.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
 	}
-	if len(answer.Addresses) == 0 {
-		handler.refuseAddresses(writer, http.StatusServiceUnavailable, "no instance serves "+strconv.Quote(string(name)))
+	if len(addresses.Addresses) == 0 {
+		handler.respondAddressesError(writer, http.StatusServiceUnavailable, "no instance serves "+strconv.Quote(string(name)))
 		return
 	}
-	writeJSON(writer, http.StatusOK, answer)
+	writeJSON(writer, http.StatusOK, addresses)
 }
 
-func (handler *Handler) refuseAddresses(writer http.ResponseWriter, status int, text string) {
+func (handler *Handler) respondAddressesError(writer http.ResponseWriter, status int, text string) {
 	handler.options.Registry.Events.Add("refused.addresses", 1)
 	writer.Header().Set(outcome.HeaderOutcome, string(outcome.NotRun))
 	if status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", "1")
 	}
-	writeJSON(writer, status, refused{Error: text})
+	writeJSON(writer, status, addressesError{Error: text})
 }
 
 func writeJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	// A caller that is gone can't be told.
+	// An error is ignored: the caller has disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
--- a/internal/caller/once_test.go
+++ b/internal/caller/at_most_once_test.go
@@ -17,7 +17,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// fault is how a backend server treats one request. Cuts are given in bytes, so that each byte may be the last.
+// fault is how a backend server handles one request. cut is the number of bytes after which the connection is closed.
 type fault struct {
 	kind string
 	cut  int
@@ -26,25 +26,25 @@
 // Kinds of faults.
 const (
 	faultNone         = "none"
-	faultCloseAtOnce  = "closed before it reads"
+	faultCloseAtOnce  = "closed before the request was read"
 	faultCutRequest   = "closed within the request"
-	faultCutAfterRun  = "closed after it ran"
-	faultCutAnswer    = "closed within the answer"
+	faultCutAfterRun  = "closed after the request ran"
+	faultCutAnswer    = "closed within the response"
 	faultRefuse       = "refused as not run"
-	faultSilent       = "silent after it ran"
+	faultSilent       = "no response after the request ran"
 	faultCloseBetween = "answered, then closed"
 )
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
+const fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
 
-// faultyServers are backend servers that share a list of faults and count runs by key.
+// faultyServers are backend servers that share a list of faults and count runs by Idempotency-Key.
 type faultyServers struct {
 	mutex  sync.Mutex
 	faults []fault
 	runs   map[string]int
 }
 
-func (faultyServers *faultyServers) next() fault {
+func (faultyServers *faultyServers) nextFault() fault {
 	faultyServers.mutex.Lock()
 	defer faultyServers.mutex.Unlock()
 	if len(faultyServers.faults) == 0 {
@@ -74,23 +74,23 @@
 	return faultyServers.runs[key]
 }
 
-// treat serves one connection.
-func (faultyServers *faultyServers) treat(connection net.Conn) {
+// handleConnection serves one connection.
+func (faultyServers *faultyServers) handleConnection(connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		fault := faultyServers.next()
-		if !faultyServers.one(connection, reader, fault) {
+		fault := faultyServers.nextFault()
+		if !faultyServers.handleRequest(connection, reader, fault) {
 			return
 		}
 	}
 }
 
-// one treats one request and reports whether the connection goes on.
-func (faultyServers *faultyServers) one(connection net.Conn, reader *bufio.Reader, fault fault) bool {
+// handleRequest handles one request and reports whether the connection stays open.
+func (faultyServers *faultyServers) handleRequest(connection net.Conn, reader *bufio.Reader, fault fault) bool {
 	switch fault.kind {
 	case faultCloseAtOnce:
 		return false
@@ -117,22 +117,22 @@
 		_, _ = reader.Peek(1)
 		return false
 	case faultCutAnswer:
-		_, _ = io.WriteString(connection, wholeAnswer[:fault.cut%len(wholeAnswer)])
+		_, _ = io.WriteString(connection, fullResponse[:fault.cut%len(fullResponse)])
 		return false
 	}
-	_, _ = io.WriteString(connection, wholeAnswer)
+	_, _ = io.WriteString(connection, fullResponse)
 	return fault.kind != faultCloseBetween
 }
 
-// Backend servers fail at every byte and step of an exchange, in any order, under payments and browses. No payment runs
-// twice, none that was told not to have run ran, every answer that ends cleanly is whole, and every request ends.
+// Backend servers fail at any byte and step of an exchange, in any order, for payments and idempotent requests. No payment may run
+// twice, no request whose outcome is not run may have run, every response that ends cleanly is complete, and every request ends.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	servers := &faultyServers{runs: map[string]int{}}
 	serviceSettings := fixtureService()
 	serviceSettings.Retry.BudgetShare = 1
 	serviceSettings.Queue.Wait = 5 * clock.Second
 	fixture := newFixture(t, serviceSettings,
-		startRawBackend(t, servers.treat), startRawBackend(t, servers.treat), startRawBackend(t, servers.treat))
+		startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection))
 	kinds := []string{
 		faultNone, faultNone, faultNone, faultCloseAtOnce, faultCutRequest, faultCutAfterRun, faultCutAnswer, faultRefuse, faultCloseBetween, faultSilent,
 	}
@@ -154,18 +154,18 @@
 			request.Header.Set("Idempotency-Key", key)
 			request.Header.Set(outcome.HeaderTimeout, "60")
 			got, err := sendWhole(request)
-			checkOnce(rapidT, payment, got, err, servers.runsOf(key))
+			checkAtMostOnce(rapidT, payment, got, err, servers.runsOf(key))
 		}
 	})
 }
 
-// checkOnce compares what a caller was told with what ran.
-func checkOnce(t *rapid.T, payment bool, got answer, err error, runs int) {
+// checkAtMostOnce compares the caller's response with the number of runs.
+func checkAtMostOnce(t *rapid.T, payment bool, got response, err error, runs int) {
 	if payment {
 		require.LessOrEqual(t, runs, 1, "a payment ran twice")
 	}
 	if err != nil {
-		// The caller's connection broke: it knows that it does not know.
+		// The caller's connection was aborted, so the outcome is unknown to the caller.
 		return
 	}
 	switch got.outcome {
--- a/internal/caller/connection.go
+++ b/internal/caller/connection.go
@@ -10,43 +10,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// guardedConnection is a caller's connection under a headGuard. One that is retired ends where it would wait for a request; a request
-// that has been read is handled all the same.
+// guardedConnection is a caller's connection whose request heads are inspected by a headGuard. After closeWhenIdle, it
+// ends as soon as it would wait for a request; a request that has been read is still handled.
 type guardedConnection struct {
 	*net.TCPConn
 	guard headGuard
-	// forget takes the connection out of those that its listener waits for, release makes room for another one.
-	forget, release func()
-	// unfinished is called when the connection ends within a request that was never handled.
-	unfinished func()
-	// pending says that bytes have arrived which belong to no handled request.
-	pending atomic.Bool
-	// multiplexed says that it carries several requests at once.
+	// untrack removes the connection from those that its listener waits for; releaseToken lets the listener accept another one.
+	untrack, releaseToken func()
+	// onUnfinished is called when the connection is closed within a request that was never handled.
+	onUnfinished func()
+	// unhandledBytes means that bytes have been read that do not belong to a handled request.
+	unhandledBytes atomic.Bool
+	// multiplexed means that the connection carries several requests at once (HTTP/2).
 	multiplexed atomic.Bool
 
 	mutex   sync.Mutex
 	state   http.ConnState
-	retired bool
+	closing bool
 }
 
-// begin notes that a request is being handled.
-func (guardedConnection *guardedConnection) begin(request *http.Request) {
-	guardedConnection.pending.Store(false)
+// beginRequest records that a request is being handled.
+func (guardedConnection *guardedConnection) beginRequest(request *http.Request) {
+	guardedConnection.unhandledBytes.Store(false)
 	if request.ProtoMajor > 1 {
-		guardedConnection.multiplex()
+		guardedConnection.markMultiplexed()
 	}
 }
 
-// multiplex notes that the connection carries several requests at once; the server ends it, not its listener.
-func (guardedConnection *guardedConnection) multiplex() {
+// markMultiplexed records that the connection carries several requests at once. Such connections are closed by the HTTP server,
+// not by the listener.
+func (guardedConnection *guardedConnection) markMultiplexed() {
 	if !guardedConnection.multiplexed.Swap(true) {
-		guardedConnection.forget()
+		guardedConnection.untrack()
 	}
 }
 
-// finish notes that a request has been handled; the bytes of its body belonged to it.
-func (guardedConnection *guardedConnection) finish() {
-	guardedConnection.pending.Store(false)
+// endRequest records that a request has been handled. The bytes of its body that have been read belong to it.
+func (guardedConnection *guardedConnection) endRequest() {
+	guardedConnection.unhandledBytes.Store(false)
 }
 
 // Read implements net.Conn.
@@ -54,11 +55,11 @@
 	count, err := guardedConnection.TCPConn.Read(buffer)
 	guardedConnection.guard.observe(buffer[:count])
 	if count > 0 {
-		guardedConnection.pending.Store(true)
+		guardedConnection.unhandledBytes.Store(true)
 	}
 	if guardedConnection.guard.sawPreface {
-		// A request may never come on it.
-		guardedConnection.multiplex()
+		// The connection may never carry a request, which would otherwise mark it.
+		guardedConnection.markMultiplexed()
 	}
 	return count, err
 }
@@ -67,65 +68,66 @@
 func (guardedConnection *guardedConnection) SetReadDeadline(deadline time.Time) error {
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
-	if guardedConnection.retired && guardedConnection.waits() {
-		deadline = longAgo
+	if guardedConnection.closing && guardedConnection.awaitsRequest() {
+		deadline = pastDeadline
 	}
 	return guardedConnection.TCPConn.SetReadDeadline(deadline)
 }
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that makes reads fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// waits reports whether the connection waits for a request of which nothing has come.
-func (guardedConnection *guardedConnection) waits() bool {
-	return guardedConnection.state != http.StateActive && !guardedConnection.pending.Load() && !guardedConnection.unread()
+// awaitsRequest reports whether the connection waits for a request of which no byte has arrived.
+func (guardedConnection *guardedConnection) awaitsRequest() bool {
+	return guardedConnection.state != http.StateActive && !guardedConnection.unhandledBytes.Load() && !guardedConnection.hasUnreadBytes()
 }
 
-// unread reports whether bytes have arrived that have not been read: a process that is short of processor time comes to them late.
-func (guardedConnection *guardedConnection) unread() bool {
+// hasUnreadBytes reports whether the kernel holds bytes that have not been read: a process that is short of CPU time reads them
+// late.
+func (guardedConnection *guardedConnection) hasUnreadBytes() bool {
 	raw, err := guardedConnection.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var count int
-	var failed error
-	err = raw.Control(func(descriptor uintptr) { count, failed = unix.IoctlGetInt(int(descriptor), unix.TIOCINQ) })
-	return err == nil && failed == nil && count > 0
+	var ioctlErr error
+	err = raw.Control(func(descriptor uintptr) { count, ioctlErr = unix.IoctlGetInt(int(descriptor), unix.TIOCINQ) })
+	return err == nil && ioctlErr == nil && count > 0
 }
 
-// retire ends the connection, if it waits for a request, or else after the request that it has. New ones are left alone unless they
-// are to end as well.
-func (guardedConnection *guardedConnection) retire(newAsWell bool) {
+// closeWhenIdle closes the connection at once if it waits for a request, otherwise after its current request. New connections,
+// on which nothing has been read yet, are kept unless includeNew is set. Multiplexed connections are left to the HTTP server.
+func (guardedConnection *guardedConnection) closeWhenIdle(includeNew bool) {
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
-	if guardedConnection.state == http.StateNew && !newAsWell || guardedConnection.multiplexed.Load() {
+	if guardedConnection.state == http.StateNew && !includeNew || guardedConnection.multiplexed.Load() {
 		return
 	}
-	guardedConnection.retired = true
-	if guardedConnection.waits() {
-		// One that has ended already needs nothing more.
-		_ = guardedConnection.TCPConn.SetReadDeadline(longAgo)
+	guardedConnection.closing = true
+	if guardedConnection.awaitsRequest() {
+		// An error means that the connection is closed already.
+		_ = guardedConnection.TCPConn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// setState notes what the server does with the connection.
+// setState records the state that net/http reports for the connection.
 func (guardedConnection *guardedConnection) setState(state http.ConnState) {
 	if state == http.StateIdle {
-		// The next bytes are a head.
-		guardedConnection.guard.restart()
+		// The next bytes are the head of a request.
+		guardedConnection.guard.reset()
 	}
 	guardedConnection.mutex.Lock()
 	defer guardedConnection.mutex.Unlock()
 	guardedConnection.state = state
-	if state == http.StateActive && guardedConnection.retired {
-		// The request was read as the connection was retired. Its body may still come, and a read that fails would be taken for
-		// a caller that has gone.
+	if state == http.StateActive && guardedConnection.closing {
+		// The request was read while closeWhenIdle set the deadline. Its body may still arrive, and a failed read would be
+		// treated as a disconnect of the caller.
 		_ = guardedConnection.TCPConn.SetReadDeadline(time.Time{})
 	}
 }
 
-// noteState is the server's hook for changes of a connection's state.
-func noteState(connection net.Conn, state http.ConnState) {
+// handleConnState is the ConnState hook of the HTTP server.
+func handleConnState(connection net.Conn, state http.ConnState) {
 	if guarded, isGuarded := connection.(*guardedConnection); isGuarded {
 		guarded.setState(state)
 	}
@@ -133,10 +135,10 @@
 
 // Close implements net.Conn.
 func (guardedConnection *guardedConnection) Close() error {
-	defer guardedConnection.release()
-	defer guardedConnection.forget()
-	if guardedConnection.pending.Swap(false) {
-		guardedConnection.unfinished()
+	defer guardedConnection.releaseToken()
+	defer guardedConnection.untrack()
+	if guardedConnection.unhandledBytes.Swap(false) {
+		guardedConnection.onUnfinished()
 	}
 	return guardedConnection.TCPConn.Close()
 }
--- a/internal/caller/drain.go
+++ b/internal/caller/drain.go
@@ -11,53 +11,56 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// errLeaving is the cause with which requests end when the time for leaving is nearly over.
-var errLeaving = errors.New("this instance leaves before the request could end")
+// errDraining is the cause with which requests that are still in flight at the end of the drain are cancelled.
+var errDraining = errors.New("instance is shutting down and the request cannot end in time")
 
-// leavingComeBack is when a caller may return whose request has not run at an instance that leaves. Others serve meanwhile.
-const leavingComeBack = 20 * clock.Millisecond
+// drainRetryAfter is the retry delay for a request that has not run because the instance is draining. Other instances serve
+// meanwhile.
+const drainRetryAfter = 20 * clock.Millisecond
 
-// drain is what requests are held to while the instance leaves.
+// drain has the time limits of requests while the instance is draining.
 type drain struct {
-	// takeUntil is when requests are no longer taken that may last until answerBy, when every one must be answered.
-	takeUntil, answerBy clock.Moment
+	// Until acceptUntil, every request is accepted, with its deadline shortened to respondBy. After that, only requests whose
+	// own deadline is not later than respondBy are accepted.
+	acceptUntil, respondBy clock.Moment
 }
 
-// Drain has every request answered within the given time: those that arrive later than takeFor are refused unless all of their own time
-// fits. Callers are told that their connections end.
-func (handler *Handler) Drain(takeFor, answerWithin clock.Milliseconds) {
+// Drain ends every request within respondWithin. Requests that arrive after acceptFor are rejected unless their deadline falls
+// within respondWithin. Responses carry Connection: close from then on. Later calls have no effect.
+func (handler *Handler) Drain(acceptFor, respondWithin clock.Milliseconds) {
 	now := handler.options.Clock.Now()
-	if !handler.drain.CompareAndSwap(nil, &drain{takeUntil: now.Add(takeFor), answerBy: now.Add(answerWithin)}) {
+	if !handler.drain.CompareAndSwap(nil, &drain{acceptUntil: now.Add(acceptFor), respondBy: now.Add(respondWithin)}) {
 		return
 	}
-	time.AfterFunc(answerWithin.Duration(), func() { handler.endAll(errLeaving) })
+	time.AfterFunc(respondWithin.Duration(), func() { handler.cancelAll(errDraining) })
 }
 
-// draining reports whether the instance leaves.
+// draining reports whether Drain has been called.
 func (handler *Handler) draining() bool {
 	return handler.drain.Load() != nil
 }
 
-// leaves reports whether the request ended because the instance leaves.
-func leaves(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), errLeaving)
+// endedByDrain reports whether the request was cancelled because the instance is draining.
+func endedByDrain(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errDraining)
 }
 
-// boundByDrain shortens the request's time to what is left of the time for leaving, or refuses it.
-func (call *call) boundByDrain() *ending {
+// applyDrainDeadline shortens the request's deadline to the end of the drain, or rejects the request.
+func (call *call) applyDrainDeadline() *errorResponse {
 	drain := call.handler.drain.Load()
-	if drain == nil || call.deadline <= drain.answerBy {
+	if drain == nil || call.deadline <= drain.respondBy {
 		return nil
 	}
-	if call.started >= drain.takeUntil {
-		return leavingRefusal()
+	if call.started >= drain.acceptUntil {
+		return newDrainRejection()
 	}
-	call.deadline = drain.answerBy
+	call.deadline = drain.respondBy
 	return nil
 }
 
-func leavingRefusal() *ending {
-	refused := refusal(http.StatusServiceUnavailable, outcome.ReasonLeaving, errLeaving)
-	refused.retryAfter = leavingComeBack
-	return refused
+// newDrainRejection returns the error response for a request that has not run because the instance is draining.
+func newDrainRejection() *errorResponse {
+	errorResponse := newRejection(http.StatusServiceUnavailable, outcome.ReasonLeaving, errDraining)
+	errorResponse.retryAfter = drainRetryAfter
+	return errorResponse
 }
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -22,7 +22,7 @@
 
 const fixtureHost = "book.example"
 
-// fixture is one instance's traffic side on loopback, without control: a fixed table and warm targets.
+// fixture is an instance that handles requests on loopback, with a fixed routing table and warm targets and without a control plane.
 type fixture struct {
 	table    *routing.Table
 	registry *metrics.Registry
@@ -31,8 +31,8 @@
 	address  string
 }
 
-// fixtureStall is the longest pause within a body that a fixture allows; a test may change it before it makes one.
-var fixtureStall = 30 * clock.Second
+// fixtureMaxStall is the MaxStall of new fixtures; a test may change it before it creates one.
+var fixtureMaxStall = 30 * clock.Second
 
 func fixtureService() *settings.Service {
 	return &settings.Service{
@@ -61,7 +61,7 @@
 	return fixture
 }
 
-// makeFixture makes the same without taking any connection.
+// makeFixture returns the same fixture without a listener.
 func makeFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
 	fixture := &fixture{registry: metrics.NewRegistry(), traces: trace.NewRing(64)}
 	clock := clock.New()
@@ -86,7 +86,7 @@
 	})
 	fixture.handler = NewHandler(Options{
 		Table: func() *routing.Table { return fixture.table }, Servers: servers, Registry: fixture.registry, Traces: fixture.traces,
-		Clock: clock, Instance: "entry-1", StallMost: fixtureStall,
+		Clock: clock, Instance: "entry-1", MaxStall: fixtureMaxStall,
 	})
 	t.Cleanup(servers.Close)
 	return fixture
@@ -99,8 +99,8 @@
 	return server.Listener.Addr().String()
 }
 
-// startRawBackend starts a backend server that treats each connection as given.
-func startRawBackend(t testing.TB, treat func(net.Conn)) string {
+// startRawBackend starts a backend server that calls handle for each connection.
+func startRawBackend(t testing.TB, handle func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -110,13 +110,13 @@
 			if err != nil {
 				return
 			}
-			go treat(connection)
+			go handle(connection)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// newRequest builds a request to the fixture's service.
+// newRequest returns a request to the fixture's service.
 func (fixture *fixture) newRequest(t testing.TB, method, path string, body io.Reader) *http.Request {
 	request, err := http.NewRequest(method, "http://"+fixture.address+path, body)
 	require.NoError(t, err)
@@ -124,8 +124,8 @@
 	return request
 }
 
-// answer is a whole answer.
-type answer struct {
+// response is a completely read response.
+type response struct {
 	status  int
 	header  http.Header
 	trailer http.Header
@@ -134,27 +134,27 @@
 	reason  outcome.Reason
 }
 
-// send sends a request on a connection of its own and reads the whole answer.
-func (fixture *fixture) send(t testing.TB, request *http.Request) answer {
+// send sends a request on a new connection and reads the whole response.
+func (fixture *fixture) send(t testing.TB, request *http.Request) response {
 	got, err := sendWhole(request)
 	require.NoError(t, err)
 	return got
 }
 
-func sendWhole(request *http.Request) (answer, error) {
+func sendWhole(request *http.Request) (response, error) {
 	client := &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	response, err := client.Do(request)
+	httpResponse, err := client.Do(request)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	result, reason := outcome.FromHeader(response.Header)
-	got := answer{
-		status: response.StatusCode, header: response.Header, trailer: response.Trailer, body: string(text), outcome: result, reason: reason,
+	defer httpResponse.Body.Close()
+	text, err := io.ReadAll(httpResponse.Body)
+	result, reason := outcome.FromHeader(httpResponse.Header)
+	got := response{
+		status: httpResponse.StatusCode, header: httpResponse.Header, trailer: httpResponse.Trailer, body: string(text), outcome: result, reason: reason,
 	}
 	return got, err
 }
--- a/internal/caller/fuzz_test.go
+++ b/internal/caller/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzRawRequest sends anything at all to an instance. Whatever it is, the next caller is served.
+// FuzzRawRequest sends arbitrary bytes to an instance, which must still serve the next caller.
 func FuzzRawRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: book.example\r\n\r\n"))
 	f.Add([]byte("POST /payments HTTP/1.1\r\nHost: book.example\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"))
@@ -24,34 +24,33 @@
 		require.NoError(t, err)
 		_, _ = connection.Write(text)
 		if half, canHalfClose := connection.(*net.TCPConn); canHalfClose {
-			// The instance may have broken the connection off already.
+			// The instance may have closed the connection already.
 			_ = half.CloseWrite()
 		}
-		_ = connection.SetReadDeadline(time.Now().Add(waitMost))
+		_ = connection.SetReadDeadline(time.Now().Add(maxWait))
 		_, _ = io.Copy(io.Discard, connection)
 		connection.Close()
-		answer := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
-		require.Equal(t, http.StatusOK, answer.status)
+		response := fixture.send(t, fixture.newRequest(t, http.MethodGet, "/", http.NoBody))
+		require.Equal(t, http.StatusOK, response.status)
 	})
 }
 
-// FuzzHeadGuard feeds heads in pieces of any size. The guard finds a length exactly when a line of the head begins with
-// that header's name.
+// FuzzHeadGuard feeds heads to the guard in pieces of any size. The state of the guard must not depend on the size of the pieces.
 func FuzzHeadGuard(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nabcd"), uint8(3))
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\nX: content-length\n\n"), uint8(1))
 	f.Fuzz(func(t *testing.T, text []byte, piece uint8) {
 		var whole, pieces headGuard
-		whole.restart()
-		pieces.restart()
+		whole.reset()
+		pieces.reset()
 		whole.observe(text)
 		for rest := text; len(rest) > 0; {
 			size := min(int(piece)+1, len(rest))
 			pieces.observe(rest[:size])
 			rest = rest[size:]
 		}
-		require.Equal(t, whole.sawLength, pieces.sawLength)
-		require.Equal(t, whole.loose, pieces.loose)
+		require.Equal(t, whole.sawContentLength, pieces.sawContentLength)
+		require.Equal(t, whole.desynchronized, pieces.desynchronized)
 		require.Equal(t, whole.scanning, pieces.scanning)
 	})
 }
--- a/internal/caller/headers.go
+++ b/internal/caller/headers.go
@@ -12,13 +12,13 @@
 	"github.com/jaywheel/jaywheel/internal/service"
 )
 
-// hopByHop are the headers that speak of one connection only (RFC 9110, section 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to a single connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// removeHopByHop takes out what must not be passed on, including what Connection names.
+// removeHopByHop removes the headers that must not be forwarded, including those that Connection names.
 func removeHopByHop(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -27,25 +27,25 @@
 			}
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
 
-// outgoing builds the request for one backend server.
+// outgoing builds the request to a backend server.
 func (call *call) outgoing(target *service.Target) *http.Request {
 	incoming := call.request
 	dialect := call.handler.options.Dialect
 	header := incoming.Header.Clone()
 	wantsTrailers := httpguts.HeaderValuesContainsToken(header["Te"], "trailers")
 	removeHopByHop(header)
-	removeOwn(header, dialect.Own)
-	call.setTeam(header)
+	removeReserved(header, dialect.IsReservedHeader)
+	call.setTeamHeader(header)
 	if wantsTrailers {
 		header.Set("Te", "trailers")
 	}
-	if _, given := header["User-Agent"]; !given {
-		// Without this the library would write its own name in the caller's place.
+	if _, present := header["User-Agent"]; !present {
+		// Otherwise net/http would add its own User-Agent.
 		header["User-Agent"] = nil
 	}
 	header.Set(dialect.RequestIDHeader, string(call.id))
@@ -56,10 +56,10 @@
 	if dialect.AttemptHeader != "" {
 		header.Set(dialect.AttemptHeader, strconv.Itoa(call.attemptNumber()+len(call.attempts)))
 	}
-	if dialect.Explains {
+	if dialect.DiagnosticHeaders {
 		header.Add("Via", "1.1 "+string(call.handler.options.Instance))
-		if caller, _, err := net.SplitHostPort(incoming.RemoteAddr); err == nil {
-			header.Add("X-Forwarded-For", caller)
+		if callerIP, _, err := net.SplitHostPort(incoming.RemoteAddr); err == nil {
+			header.Add("X-Forwarded-For", callerIP)
 		}
 	}
 	body, length := call.body.reader(incoming.ContentLength)
@@ -77,26 +77,26 @@
 	return outgoing
 }
 
-// removeOwn takes out headers that only jaywheel sets, so that neither side can speak in its name.
-func removeOwn(header http.Header, own func(string) bool) {
+// removeReserved removes headers that only jaywheel may set, so that neither callers nor backend servers can forge them.
+func removeReserved(header http.Header, isReserved func(string) bool) {
 	for name := range header {
-		if own(name) {
+		if isReserved(name) {
 			delete(header, name)
 		}
 	}
 }
 
-// attemptNumber reads how often the request was sent before it came here; what can't be read counts as once.
+// attemptNumber returns how often the request was sent before it arrived here. A malformed number counts as 1.
 func (call *call) attemptNumber() int {
 	name := call.handler.options.Dialect.AttemptHeader
 	if name == "" {
 		return 0
 	}
-	given := call.request.Header.Get(name)
-	if given == "" {
+	value := call.request.Header.Get(name)
+	if value == "" {
 		return 0
 	}
-	number, err := strconv.Atoi(given)
+	number, err := strconv.Atoi(value)
 	if err != nil || number < 0 {
 		return 1
 	}
--- a/internal/caller/identity_test.go
+++ b/internal/caller/identity_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a key that is read out of a header in which a backend server, or another instance, would read another one.
+// Guards against a header from which a backend server or another instance would read a different API key.
 func FuzzReadKey(f *testing.F) {
 	for _, text := range []string{"Bearer k", "bearer k", "Bearer  k", "Bearer k,l", "Bearer k l", "Basic k", "Bearer", "Bearer ", "", "k", "Bearer \t"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		key, err := readKey(http.Header{headerKey: {text}})
+		key, err := readKey(http.Header{keyHeader: {text}})
 		if err != nil {
 			require.Empty(t, key)
 			return
 		}
 		require.NotEmpty(t, key)
-		require.LessOrEqual(t, len(key), keyMost)
+		require.LessOrEqual(t, len(key), maxKeyLength)
 		require.False(t, strings.ContainsAny(key, " ,\t"))
 		require.True(t, strings.HasSuffix(strings.TrimRight(text, " "), key))
-		_, err = readKey(http.Header{headerKey: {text, text}})
-		require.ErrorIs(t, err, errManyKeys)
+		_, err = readKey(http.Header{keyHeader: {text, text}})
+		require.ErrorIs(t, err, errMultipleKeys)
 	})
 }
