--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -77,8 +77,8 @@
 // hear lets the instance hear another one.
 func (fixture *fixture) hear(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
-	fixture.controller.hear(&Message{Beat: &membership.Beat{
-		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, Fresh: true,
+	fixture.controller.hear(&Message{Beat: &membership.Heartbeat{
+		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, CatalogFresh: true,
 	}})
 }
 
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -98,7 +98,7 @@
 // Message is the one datagram between instances: a beat, readings, or requests of teams that were let in.
 type Message struct {
 	_        struct{} `cbor:",toarray"`
-	Beat     *membership.Beat
+	Beat     *membership.Heartbeat
 	Readings []SharedReading
 	Quota    *quota.Report
 }
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -26,7 +26,7 @@
 
 // Anyone who reaches the port can send anything. What makes no sense must neither be believed nor end the process.
 func FuzzDecode(f *testing.F) {
-	text, err := Encode(&Message{Beat: &membership.Beat{Identity: membership.Identity{Name: "entry-1", Peer: "10.0.0.1:7000"}}})
+	text, err := Encode(&Message{Beat: &membership.Heartbeat{Identity: membership.Identity{Name: "entry-1", Peer: "10.0.0.1:7000"}}})
 	require.NoError(f, err)
 	f.Add(text)
 	f.Add([]byte{0x82, 0xf6, 0x80})
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -20,8 +20,8 @@
 
 // sendBeats sends what is due.
 func (controller *Controller) sendBeats() {
-	for _, address := range controller.members.Due() {
-		beat := controller.members.Beat(address)
+	for _, address := range controller.members.DueHeartbeats() {
+		beat := controller.members.NewHeartbeat(address)
 		controller.send(address, &Message{Beat: &beat})
 	}
 }
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -8,15 +8,15 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Mention is what a beat tells of another member.
-type Mention struct {
+// MemberSummary is what a beat tells of another member.
+type MemberSummary struct {
 	_        struct{} `cbor:",toarray"`
 	Identity Identity
 	State    State
 }
 
-// Beat says that its sender lives.
-type Beat struct {
+// Heartbeat says that its sender lives.
+type Heartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	Identity    Identity
 	Incarnation Incarnation
@@ -25,17 +25,17 @@
 	// Revision and Version are those of the catalog that the sender has.
 	Revision catalog.Revision
 	Version  catalog.Version
-	// Fresh says that the sender itself reads the catalog and is answered.
-	Fresh bool
-	// Asks says that the sender looks for those who serve, and waits for an answer.
-	Asks     bool
-	Mentions []Mention
-	// Called are instances that stand by and are to serve, in the view of a serving sender.
-	Called []settings.InstanceName
+	// CatalogFresh says that the sender itself reads the catalog and is answered.
+	CatalogFresh bool
+	// WantsReply says that the sender looks for those who serve, and waits for an answer.
+	WantsReply bool
+	Summaries  []MemberSummary
+	// Promoted are instances that stand by and are to serve, in the view of a serving sender.
+	Promoted []settings.InstanceName
 }
 
-// Due returns where beats are to be sent now, and counts them as sent.
-func (members *Members) Due() []netip.AddrPort {
+// DueHeartbeats returns where beats are to be sent now, and counts them as sent.
+func (members *Members) DueHeartbeats() []netip.AddrPort {
 	now := members.options.Clock.Now()
 	var due []netip.AddrPort
 	leaderless := members.Leaderless()
@@ -113,20 +113,20 @@
 	return servingEvery
 }
 
-// Beat makes the beat for one receiver.
-func (members *Members) Beat(to netip.AddrPort) Beat {
+// NewHeartbeat makes the beat for one receiver.
+func (members *Members) NewHeartbeat(to netip.AddrPort) Heartbeat {
 	members.sequence++
-	beat := Beat{
+	beat := Heartbeat{
 		Identity: members.options.Self, Incarnation: members.options.Incarnation, Sequence: members.sequence, State: members.state,
-		Revision: members.revision, Version: members.version, Fresh: members.fresh, Called: members.calls(),
+		Revision: members.revision, Version: members.version, CatalogFresh: members.fresh, Promoted: members.calls(),
 	}
 	if member, known := members.roster.at(to); members.state == Joining || members.Leaderless() {
-		beat.Asks = !known || !member.replied
+		beat.WantsReply = !known || !member.replied
 	}
 	if !members.newsFor(to) {
 		return beat
 	}
-	beat.Mentions = members.mentions()
+	beat.Summaries = members.mentions()
 	return beat
 }
 
@@ -142,12 +142,12 @@
 
 // mentions tells of serving and newly lost members first, then of those that should serve, and of the others in turn. Whoever is asked
 // tells of them, also an instance that stands by: after all were restarted at once, those that serve may know nobody but the seeds.
-func (members *Members) mentions() []Mention {
+func (members *Members) mentions() []MemberSummary {
 	now := members.options.Clock.Now()
 	ranking := members.roster.ranked(members)
-	var serving, next, lost, others []Mention
+	var serving, next, lost, others []MemberSummary
 	for _, member := range members.All() {
-		mention := Mention{Identity: member.Identity, State: member.State}
+		mention := MemberSummary{Identity: member.Identity, State: member.State}
 		switch {
 		case member.State == Serving:
 			serving = append(serving, mention)
@@ -167,9 +167,9 @@
 }
 
 // inTurn takes a number of mentions, others each time.
-func inTurn(mentions []Mention, turn, most int) []Mention {
+func inTurn(mentions []MemberSummary, turn, most int) []MemberSummary {
 	most = min(max(most, 0), len(mentions))
-	taken := make([]Mention, 0, most)
+	taken := make([]MemberSummary, 0, most)
 	for offset := range most {
 		taken = append(taken, mentions[(turn*most+offset)%len(mentions)])
 	}
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -8,7 +8,7 @@
 )
 
 // Hear takes another instance's beat. It reports whether anything changed that others should hear of.
-func (members *Members) Hear(beat Beat) bool {
+func (members *Members) Hear(beat Heartbeat) bool {
 	if beat.Identity.Name == members.options.Self.Name {
 		return false
 	}
@@ -36,7 +36,7 @@
 		// It now expects to hear from here more often than before: without a word it would take this instance for lost.
 		member.next = 0
 	}
-	for _, mention := range beat.Mentions {
+	for _, mention := range beat.Summaries {
 		changed = members.hearOf(now, beat.State, mention) || changed
 	}
 	if changed {
@@ -46,24 +46,24 @@
 }
 
 // owes reports whether a beat calls for a reply. Whoever speaks to one that leaves may hold it for one that stays, unless it leaves itself.
-func (members *Members) owes(beat Beat) bool {
-	return beat.Asks || members.state == Leaving && beat.State != Leaving
+func (members *Members) owes(beat Heartbeat) bool {
+	return beat.WantsReply || members.state == Leaving && beat.State != Leaving
 }
 
 // take notes what a beat says of its sender.
-func (member *Member) take(beat Beat) {
+func (member *Member) take(beat Heartbeat) {
 	member.Identity = beat.Identity
 	member.State = beat.State
 	member.Incarnation = beat.Incarnation
 	member.Sequence = beat.Sequence
 	member.Revision = beat.Revision
 	member.Version = beat.Version
-	member.Fresh = beat.Fresh
-	member.Called = beat.Called
+	member.Fresh = beat.CatalogFresh
+	member.Called = beat.Promoted
 }
 
 // hearOf takes what another instance says of a third.
-func (members *Members) hearOf(now clock.Moment, teller State, mention Mention) bool {
+func (members *Members) hearOf(now clock.Moment, teller State, mention MemberSummary) bool {
 	if mention.Identity.Name == members.options.Self.Name {
 		return false
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -31,7 +31,7 @@
 
 type delivery struct {
 	to   int
-	beat Beat
+	beat Heartbeat
 }
 
 type simulated struct {
@@ -112,8 +112,8 @@
 		members.SetState(StandingBy)
 	}
 	members.SetCatalog(1, 1, members.State() == Serving)
-	for _, address := range members.Due() {
-		beat := members.Beat(address)
+	for _, address := range members.DueHeartbeats() {
+		beat := members.NewHeartbeat(address)
 		fleet.sent++
 		index, known := fleet.byAddress[address]
 		if !known || fleet.instances[index].dead || fleet.random.Float64() < fleet.loss || fleet.cut(instance.number, index) {
@@ -391,9 +391,9 @@
 			teller := fleet.instances[fleet.serving()[0]]
 			teller.members.SetCatalog(1, 1, true)
 			fleet.clock.Advance(2 * clock.Second)
-			teller.members.Due()
+			teller.members.DueHeartbeats()
 			teller.members.SetCatalog(testCase.revision, testCase.version, true)
-			due := teller.members.Due()
+			due := teller.members.DueHeartbeats()
 			serving := 0
 			for _, address := range due {
 				if slices.Contains(fleet.serving(), fleet.byAddress[address]) {
