--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -46,7 +46,7 @@
 	}
 	if len(book.all) == 0 {
 		// Right after all have started nobody serves yet; whoever is there and knows the routes is better than no answer.
-		book.all = controller.members.Present()
+		book.all = controller.members.CandidateAddresses()
 		book.kept = min(answerKeptStarting, book.kept)
 	}
 	slices.Sort(book.all)
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -66,7 +66,7 @@
 func TestOnlyServingInstancesChangeOwners(t *testing.T) {
 	fixture := newStandby(t, 20, 30)
 	before := fixture.controller.Table()
-	fixture.hear(30, membership.StandingBy, 1)
+	fixture.hear(30, membership.Standby, 1)
 	fixture.controller.tick()
 	require.Same(t, before, fixture.controller.Table())
 	fixture.hear(2, membership.Leaving, 1)
@@ -270,7 +270,7 @@
 			fixture.controller.options.FleetStarts = false
 			for number := range 30 {
 				if number != testCase.self {
-					fixture.hear(number, membership.StandingBy, 0)
+					fixture.hear(number, membership.Standby, 0)
 				}
 			}
 			fixture.pass(testCase.passed)
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -86,7 +86,7 @@
 func newStandby(tb testing.TB, instances, targets int) *fixture {
 	fixture := newFixture(instances - 1)
 	for number := range instances - 1 {
-		state := membership.StandingBy
+		state := membership.Standby
 		if number < fixtureDataCentres {
 			state = membership.Serving
 			fixture.serving = append(fixture.serving, identity(number))
@@ -96,7 +96,7 @@
 	fixture.controller.applyView(view(targets, fixtureDataCentres))
 	fixture.pass(clock.Second)
 	fixture.second()
-	require.Equal(tb, membership.StandingBy, fixture.controller.members.State())
+	require.Equal(tb, membership.Standby, fixture.controller.members.State())
 	return fixture
 }
 
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -10,7 +10,7 @@
 // view reads for itself, since it is bound by what it would have read there.
 func (controller *Controller) lead(now clock.Moment, serves bool) {
 	leaders := controller.members.Leaders()
-	newest := leaders.Newest
+	newest := leaders.NewestRevision
 	role := controller.nextRole(now, serves, leaders)
 	if role != controller.role {
 		controller.role = role
@@ -21,7 +21,7 @@
 	case leads:
 		controller.seekHelp(now)
 	case controller.view == nil:
-		controller.feed.Follow(controller.members.NewestConfigured())
+		controller.feed.Follow(controller.members.NewestConfiguredRevision())
 	case newest > controller.view.Revision && (now.Since(controller.viewAt) >= followEvery || controller.versionBehind()):
 		controller.feed.Follow(newest)
 	}
@@ -30,12 +30,12 @@
 // nextRole chooses the reader's role.
 func (controller *Controller) nextRole(now clock.Moment, serves bool, leaders membership.Leaders) catalog.Role {
 	switch {
-	case serves || leaders.Fresh > 0:
+	case serves || leaders.LastFresh > 0:
 		controller.unledFrom = 0
 	case controller.unledFrom == 0:
 		controller.unledFrom = now
 	}
-	silent := leaders.Heard > 0 && now.Since(max(leaders.Heard, controller.started)) >= silentLead || controller.missesUpdate()
+	silent := leaders.LastSeen > 0 && now.Since(max(leaders.LastSeen, controller.started)) >= silentLead || controller.missesUpdate()
 	switch {
 	case serves || controller.view == nil && controller.startsAlone(now):
 		return catalog.RoleLead
@@ -50,7 +50,7 @@
 
 // missesUpdate reports whether a serving instance is known to have a newer view, and nobody tells it.
 func (controller *Controller) missesUpdate() bool {
-	return controller.view != nil && controller.members.Leaders().Newest > controller.view.Revision && controller.feed.PeerFailing()
+	return controller.view != nil && controller.members.Leaders().NewestRevision > controller.view.Revision && controller.feed.PeerFailing()
 }
 
 // startsAlone reports whether this instance, which knows nothing yet, reads the store for want of others who do.
@@ -59,12 +59,12 @@
 	if controller.options.FleetStarts {
 		return controller.isSeed || waited >= startAlone
 	}
-	return waited >= restartAlone && controller.members.Leading() || waited >= restartAloneLast
+	return waited >= restartAlone && controller.members.TopRanked() || waited >= restartAloneLast
 }
 
 // unledMost is how long this instance waits for a serving one with a fresh view before it reads the store for itself.
 func (controller *Controller) unledMost() clock.Milliseconds {
-	if controller.members.Leading() {
+	if controller.members.TopRanked() {
 		return unledFor
 	}
 	return unledLast
@@ -75,7 +75,7 @@
 	if controller.view == nil || !controller.feed.Failing() || now < controller.nextHelp {
 		return
 	}
-	if known := controller.members.NewestConfigured(); known > controller.view.Revision {
+	if known := controller.members.NewestConfiguredRevision(); known > controller.view.Revision {
 		controller.nextHelp = now.Add(helpEvery)
 		controller.feed.Follow(known)
 	}
@@ -83,7 +83,7 @@
 
 // versionBehind reports whether a serving peer has a newer configuration.
 func (controller *Controller) versionBehind() bool {
-	for _, peer := range controller.members.Peers() {
+	for _, peer := range controller.members.ServingPeers() {
 		if controller.view.Configuration == nil || peer.Version > controller.view.Configuration.Version {
 			return true
 		}
@@ -113,7 +113,7 @@
 func (controller *Controller) checkBehind(now clock.Moment) {
 	newer, behindMost := false, behindFor
 	if controller.role != catalog.RoleFollow && controller.view != nil {
-		newer = controller.members.Leaders().Newest > controller.view.Revision
+		newer = controller.members.Leaders().NewestRevision > controller.view.Revision
 		if controller.versionBehind() {
 			behindMost = versionBehindFor
 		}
@@ -127,6 +127,6 @@
 		controller.behindFrom = 0
 		controller.options.Registry.Events.Add(EventBehind, 1)
 		controller.options.Log.Warn().Uint64("revision", uint64(controller.view.Revision)).Msg("a peer knows a newer revision; reading everything anew")
-		controller.feed.CatchUp(controller.members.Leaders().Newest)
+		controller.feed.CatchUp(controller.members.Leaders().NewestRevision)
 	}
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -38,7 +38,7 @@
 // hear takes a peer's message.
 func (controller *Controller) hear(message *Message) {
 	now := controller.options.Clock.Now()
-	if message.Beat != nil && controller.members.Hear(*message.Beat) {
+	if message.Beat != nil && controller.members.Receive(*message.Beat) {
 		controller.heardNews = true
 	}
 	if message.Quota != nil {
--- a/internal/fleet/share.go
+++ b/internal/fleet/share.go
@@ -35,7 +35,7 @@
 	}
 	for start := 0; start < len(readings); start += readingsMost {
 		message := &Message{Readings: readings[start:min(start+readingsMost, len(readings))]}
-		for _, peer := range controller.members.Peers() {
+		for _, peer := range controller.members.ServingPeers() {
 			controller.send(peer.Address, message)
 		}
 	}
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -88,7 +88,7 @@
 // hearQuota takes what another instance has let in.
 func (controller *Controller) hearQuota(now clock.Moment, report *quota.Report) {
 	controller.teams.reporters[membership.Incarnation(report.Sender)] = now
-	controller.members.SetSpoke(membership.Incarnation(report.Sender))
+	controller.members.RecordMessage(membership.Incarnation(report.Sender))
 	if controller.options.Quota != nil {
 		controller.options.Quota.Hear(*report)
 	}
@@ -124,7 +124,7 @@
 // countsQuota are the addresses of instances that let requests in.
 func (controller *Controller) countsQuota() []netip.AddrPort {
 	var addresses []netip.AddrPort
-	for _, member := range controller.members.Living() {
+	for _, member := range controller.members.Alive() {
 		_, reports := controller.teams.reporters[member.Incarnation]
 		if reports || member.State == membership.Serving || member.State == membership.Leaving {
 			addresses = append(addresses, member.Address)
@@ -146,22 +146,22 @@
 // one that has just begun to serve, hears only those that serve, and few of them when a whole fleet was restarted.
 func (controller *Controller) countsTogether(now clock.Moment) float64 {
 	if now.Since(controller.started) < sightSettles {
-		heard, serving := controller.members.ServingHeard(countsWithStandby)
+		heard, serving := controller.members.CountRecentServing(countsWithStandby)
 		return max(float64(heard)/float64(max(serving, servesAtLeast)), startsAsPart)
 	}
 	if controller.members.State() != membership.Serving {
-		heard, serving := controller.members.ServingHeard(countsWithStandby)
+		heard, serving := controller.members.CountRecentServing(countsWithStandby)
 		return float64(heard) / float64(max(serving, servesAtLeast))
 	}
 	within := countsWith
 	if len(controller.teams.reporters) == 0 {
 		within = countsWithIdle
 	}
-	heard, serving := controller.members.ServingHeard(within)
+	heard, serving := controller.members.CountRecentServing(within)
 	if now.Since(controller.servesFrom) < sightSettles {
 		return float64(heard) / float64(max(serving, servesAtLeast))
 	}
-	return min(float64(heard)/float64(serving), controller.members.Sight())
+	return min(float64(heard)/float64(serving), controller.members.VisibleFraction())
 }
 
 // Keys tells what the API keys of the table in force are worth.
@@ -173,7 +173,7 @@
 func (controller *Controller) judgeKeys(now clock.Moment) {
 	if controller.members.CatalogFresh() {
 		controller.teams.freshAt = now
-	} else if fresh := controller.members.Leaders().Fresh; fresh > 0 {
+	} else if fresh := controller.members.Leaders().LastFresh; fresh > 0 {
 		controller.teams.freshAt = max(controller.teams.freshAt, fresh)
 	}
 	standing := team.KeysCurrent
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -24,7 +24,7 @@
 func (controller *Controller) tick() {
 	now := controller.options.Clock.Now()
 	controller.checkFrozen()
-	if changed := controller.members.Review(); changed || controller.heardNews {
+	if changed := controller.members.UpdateStates(); changed || controller.heardNews {
 		controller.heardNews = false
 		controller.membersChanged()
 	}
@@ -35,7 +35,7 @@
 		controller.publishAddresses()
 	}
 	if controller.members.State() == membership.Serving || controller.members.State() == membership.Leaving {
-		share := min(coldShareMost*controller.members.Sight(), 1)
+		share := min(coldShareMost*controller.members.VisibleFraction(), 1)
 		for _, state := range controller.services {
 			state.scheduler.SetColdShare(share)
 			state.scheduler.Sweep()
@@ -78,14 +78,14 @@
 // moveOn changes what this instance is to the fleet, and whether it reads the catalog.
 func (controller *Controller) moveOn(now clock.Moment) {
 	state := controller.members.State()
-	needed := controller.members.Needed()
+	needed := controller.members.ShouldServe()
 	controller.lead(now, needed || state == membership.Serving)
 	current := controller.viewAt > 0 && controller.view.Configuration != nil
 	switch {
-	case state == membership.StandingBy && needed && current:
+	case state == membership.Standby && needed && current:
 		controller.changeState(membership.Serving)
-	case state == membership.Serving && controller.members.Unneeded():
-		controller.changeState(membership.StandingBy)
+	case state == membership.Serving && controller.members.ShouldStopServing():
+		controller.changeState(membership.Standby)
 	}
 	controller.checkBehind(now)
 	controller.noteCatalog(now)
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -96,7 +96,7 @@
 	var newest catalog.Version
 	for _, peer := range controller.members.Reachable() {
 		newest = max(newest, peer.Version)
-		if best == nil || peer.Revision > best.Revision || peer.Revision == best.Revision && peer.Fresh && !best.Fresh {
+		if best == nil || peer.Revision > best.Revision || peer.Revision == best.Revision && peer.CatalogFresh && !best.CatalogFresh {
 			best = peer
 		}
 		if peer.Identity.DataCentre == controller.options.Self.DataCentre && (own == nil || peer.Revision > own.Revision) {
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -141,8 +141,8 @@
 			return "reads the store if and only if it does not serve"
 		case unchanged && !maps.Equal(owners, controller.owners):
 			return fmt.Sprintf("takes others for the owners: %v, not %v", controller.owners, owners)
-		case serves && checks.complete() && controller.members.Sight() < 1:
-			return fmt.Sprintf("sees %.2f of a fleet that is complete", controller.members.Sight())
+		case serves && checks.complete() && controller.members.VisibleFraction() < 1:
+			return fmt.Sprintf("sees %.2f of a fleet that is complete", controller.members.VisibleFraction())
 		}
 		return checks.named(controller)
 	})
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -72,7 +72,7 @@
 
 // Leaderless reports whether no serving instance is known.
 func (members *Members) Leaderless() bool {
-	return members.state != Serving && len(members.Peers()) == 0
+	return members.state != Serving && len(members.ServingPeers()) == 0
 }
 
 // asks reports whether the member is asked while nobody is known to serve: one that could serve, or that others ask.
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -7,8 +7,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Hear takes another instance's beat. It reports whether anything changed that others should hear of.
-func (members *Members) Hear(beat Heartbeat) bool {
+// Receive takes another instance's beat. It reports whether anything changed that others should hear of.
+func (members *Members) Receive(beat Heartbeat) bool {
 	if beat.Identity.Name == members.options.Self.Name {
 		return false
 	}
@@ -58,8 +58,8 @@
 	member.Sequence = beat.Sequence
 	member.Revision = beat.Revision
 	member.Version = beat.Version
-	member.Fresh = beat.CatalogFresh
-	member.Called = beat.Promoted
+	member.CatalogFresh = beat.CatalogFresh
+	member.Promoted = beat.Promoted
 }
 
 // hearOf takes what another instance says of a third.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -98,8 +98,8 @@
 const (
 	// Joining instances listen; they serve nobody yet.
 	Joining State = iota
-	// StandingBy instances answer who serves, and take over.
-	StandingBy
+	// Standby instances answer who serves, and take over.
+	Standby
 	// Serving instances are named to callers.
 	Serving
 	// Leaving instances finish what they have.
@@ -130,15 +130,15 @@
 
 // Member is what is known of another instance.
 type Member struct {
-	Identity    Identity
-	Address     netip.AddrPort
-	State       State
-	Incarnation Incarnation
-	Sequence    uint64
-	Revision    catalog.Revision
-	Version     catalog.Version
-	Fresh       bool
-	Called      []settings.InstanceName
+	Identity     Identity
+	Address      netip.AddrPort
+	State        State
+	Incarnation  Incarnation
+	Sequence     uint64
+	Revision     catalog.Revision
+	Version      catalog.Version
+	CatalogFresh bool
+	Promoted     []settings.InstanceName
 	// heard is when it last spoke itself, known when it was first heard of.
 	heard, known clock.Moment
 	next         clock.Moment
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -104,12 +104,12 @@
 		return
 	}
 	members := instance.members
-	members.Review()
-	if members.State() == StandingBy && members.Needed() {
+	members.UpdateStates()
+	if members.State() == Standby && members.ShouldServe() {
 		members.SetState(Serving)
 	}
-	if members.Unneeded() {
-		members.SetState(StandingBy)
+	if members.ShouldStopServing() {
+		members.SetState(Standby)
 	}
 	members.SetCatalog(1, 1, members.State() == Serving)
 	for _, address := range members.DueHeartbeats() {
@@ -129,7 +129,7 @@
 	fleet.underWay = nil
 	for _, delivery := range arriving {
 		if instance := fleet.instances[delivery.to]; !instance.dead {
-			instance.members.Hear(delivery.beat)
+			instance.members.Receive(delivery.beat)
 		}
 	}
 }
@@ -412,20 +412,20 @@
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(8 * clock.Second)
 	one := fleet.instances[5]
-	require.InDelta(t, 1, one.members.Sight(), 0.01)
+	require.InDelta(t, 1, one.members.VisibleFraction(), 0.01)
 	fleet.cut = func(from, to int) bool { return from == 5 || to == 5 }
 	fleet.run(5 * clock.Second)
-	require.Less(t, one.members.Sight(), 0.1)
+	require.Less(t, one.members.VisibleFraction(), 0.1)
 	fleet.run(2 * clock.Minute)
-	require.Less(t, one.members.Sight(), 0.1, "others that are out of sight for long were forgotten")
+	require.Less(t, one.members.VisibleFraction(), 0.1, "others that are out of sight for long were forgotten")
 	fleet.start(one, 0)
 	fleet.run(clock.Second)
-	require.Zero(t, one.members.Sight(), "no seed was heard")
+	require.Zero(t, one.members.VisibleFraction(), "no seed was heard")
 	fleet.run(forgetAfter)
-	require.InDelta(t, 0.25, one.members.Sight(), 0.01, "three seeds and itself")
+	require.InDelta(t, 0.25, one.members.VisibleFraction(), 0.01, "three seeds and itself")
 	fleet.cut = func(int, int) bool { return false }
 	fleet.run(10 * clock.Second)
-	require.InDelta(t, 1, one.members.Sight(), 0.01)
+	require.InDelta(t, 1, one.members.VisibleFraction(), 0.01)
 }
 
 // A serving instance and one that stands by were cut off and are back. Serving instances hear the latter once a second, each at another time; one
@@ -437,7 +437,7 @@
 			fleet.run(8 * clock.Second)
 			off := map[int]bool{}
 			fleet.cut = func(from, to int) bool { return off[from] || off[to] }
-			standby := slices.IndexFunc(fleet.instances, func(instance *simulated) bool { return instance.members.State() == StandingBy })
+			standby := slices.IndexFunc(fleet.instances, func(instance *simulated) bool { return instance.members.State() == Standby })
 			serving := fleet.serving()[0]
 			off[serving] = true
 			fleet.run(clock.Second)
@@ -450,7 +450,7 @@
 			for range 80 {
 				fleet.run(simulatedStep)
 				for _, number := range fleet.serving() {
-					require.InDelta(t, 1, fleet.instances[number].members.Sight(), 0.001, "instance %d", number)
+					require.InDelta(t, 1, fleet.instances[number].members.VisibleFraction(), 0.001, "instance %d", number)
 				}
 			}
 		})
@@ -529,10 +529,10 @@
 	fleet.run(350 * clock.Millisecond)
 	small := fleet.instances[40].members
 	require.True(t, small.Leaderless())
-	require.NotEmpty(t, small.Present())
-	require.NotContains(t, small.Present(), fleet.instances[40].options.Self.Caller)
+	require.NotEmpty(t, small.CandidateAddresses())
+	require.NotContains(t, small.CandidateAddresses(), fleet.instances[40].options.Self.Caller)
 	alone := New(fleet.instances[40].options)
-	require.Equal(t, []string{fleet.instances[40].options.Self.Caller}, alone.Present(), "one that knows of nobody")
+	require.Equal(t, []string{fleet.instances[40].options.Self.Caller}, alone.CandidateAddresses(), "one that knows of nobody")
 }
 
 // Guards against instances that leave together and answer each other's beats without end.
--- a/internal/membership/needed.go
+++ b/internal/membership/needed.go
@@ -37,26 +37,26 @@
 			serving++
 		}
 	}
-	return serving < places && slices.ContainsFunc(members.Peers(), func(peer *Member) bool {
-		return now.Since(peer.heard) < callHolds && slices.Contains(peer.Called, members.options.Self.Name)
+	return serving < places && slices.ContainsFunc(members.ServingPeers(), func(peer *Member) bool {
+		return now.Since(peer.heard) < callHolds && slices.Contains(peer.Promoted, members.options.Self.Name)
 	})
 }
 
-// Needed reports whether this instance should serve. One that stands by is called by those that serve; where nobody does,
+// ShouldServe reports whether this instance should serve. One that stands by is called by those that serve; where nobody does,
 // and for one that serves already, it has to be among the first of its data centre. Larger ones come before
 // smaller ones, which can't carry as much; of equal ones those that serve already come before the others, so that nobody
 // moves when an instance returns. Seeds come last: they have the most to do when many start, and what callers hold should not depend
 // on the same machines as what instances are found by.
-func (members *Members) Needed() bool {
+func (members *Members) ShouldServe() bool {
 	if members.state == Leaving || members.state == Joining {
 		return false
 	}
 	now := members.options.Clock.Now()
 	starting := now.Since(members.started) < startsFor
 	switch {
-	case members.state == StandingBy && !members.Leaderless() && !starting:
+	case members.state == Standby && !members.Leaderless() && !starting:
 		return members.called()
-	case members.state == StandingBy && starting && members.hears(now):
+	case members.state == Standby && starting && members.hears(now):
 		return false
 	}
 	byDataCentre, places := members.candidates()
@@ -69,8 +69,8 @@
 	return false
 }
 
-// Leading reports whether this instance comes first in its data centre, or is the next to.
-func (members *Members) Leading() bool {
+// TopRanked reports whether this instance comes first in its data centre, or is the next to.
+func (members *Members) TopRanked() bool {
 	byDataCentre, places := members.candidates()
 	own := byDataCentre[members.options.Self.DataCentre]
 	return slices.ContainsFunc(own[:min(places+leadingSpare, len(own))], func(candidate ranked) bool { return candidate.member == nil })
@@ -89,10 +89,10 @@
 	return slices.ContainsFunc(members.options.Seeds, func(seed netip.AddrPort) bool { return seed != members.self })
 }
 
-// Unneeded reports whether this instance has served for a while without being needed.
-func (members *Members) Unneeded() bool {
+// ShouldStopServing reports whether this instance has served for a while without being needed.
+func (members *Members) ShouldStopServing() bool {
 	now := members.options.Clock.Now()
-	if members.state != Serving || members.Needed() {
+	if members.state != Serving || members.ShouldServe() {
 		members.unneeded = 0
 		return false
 	}
--- a/internal/membership/review.go
+++ b/internal/membership/review.go
@@ -19,19 +19,19 @@
 	}
 }
 
-// Review drops members that have fallen silent, and moves this instance on. It reports whether anything changed.
-func (members *Members) Review() bool {
+// UpdateStates drops members that have fallen silent, and moves this instance on. It reports whether anything changed.
+func (members *Members) UpdateStates() bool {
 	now := members.options.Clock.Now()
 	changed := false
 	members.noteAsked(now)
-	mayForget := members.Sight() >= sightToForget
+	mayForget := members.VisibleFraction() >= sightToForget
 	var forgotten []settings.InstanceName
 	for _, member := range members.roster.all {
 		silent := members.silentFor(now, member)
 		switch {
 		case member.State == Joining && silent > 2*joinFor:
 			// It stands by since. Those that stand by don't hear each other, so this one would take it for lost for its silence.
-			member.State = StandingBy
+			member.State = Standby
 			members.roster.changed()
 		case member.State == Lost && silent > forgetAfter && mayForget:
 			forgotten = append(forgotten, member.Identity.Name)
@@ -45,7 +45,7 @@
 		members.roster.remove(name)
 	}
 	if members.state == Joining && members.joined(now) {
-		members.SetState(StandingBy)
+		members.SetState(Standby)
 		changed = true
 	}
 	if changed {
@@ -84,7 +84,7 @@
 		// Before this instance served, the other one spoke to it rarely.
 		return min(silent, now.Since(members.stateFrom))
 	}
-	if members.state == Serving || member.State != StandingBy {
+	if members.state == Serving || member.State != Standby {
 		return silent
 	}
 	if member.askedFrom == 0 {
--- a/internal/membership/sight.go
+++ b/internal/membership/sight.go
@@ -4,10 +4,10 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Sight is the part of all instances known that have spoken as recently as they should, this one included. It falls before those that are
+// VisibleFraction is the part of all instances known that have spoken as recently as they should, this one included. It falls before those that are
 // cut off count as lost, since each part of a fleet that falls apart goes by it at once. One that has started within the last minute may
 // know only the part of the fleet in which it is; it sees no larger part of the whole than of the seeds.
-func (members *Members) Sight() float64 {
+func (members *Members) VisibleFraction() float64 {
 	now := members.options.Clock.Now()
 	seen := 1
 	for _, member := range members.roster.all {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,8 +7,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Living returns the other instances that count as alive, by name. The list is not to be changed.
-func (members *Members) Living() []*Member {
+// Alive returns the other instances that count as alive, by name. The list is not to be changed.
+func (members *Members) Alive() []*Member {
 	return members.roster.listLiving()
 }
 
@@ -22,11 +22,11 @@
 // Reachable returns the other instances that count as alive and have not just failed to answer a call, by name.
 func (members *Members) Reachable() []*Member {
 	now := members.options.Clock.Now()
-	return filter(members.Living(), func(member *Member) bool { return member.unreachable == 0 || now.Since(member.unreachable) >= avoidFor })
+	return filter(members.Alive(), func(member *Member) bool { return member.unreachable == 0 || now.Since(member.unreachable) >= avoidFor })
 }
 
-// NewestConfigured returns the newest revision of any other instance that has a configuration, 0 if there is none.
-func (members *Members) NewestConfigured() catalog.Revision {
+// NewestConfiguredRevision returns the newest revision of any other instance that has a configuration, 0 if there is none.
+func (members *Members) NewestConfiguredRevision() catalog.Revision {
 	var newest catalog.Revision
 	for _, member := range members.roster.listLiving() {
 		if member.Version > 0 {
@@ -36,9 +36,9 @@
 	return newest
 }
 
-// Present returns the callers' addresses of those that should serve next and have just spoken to this instance, as far as they
+// CandidateAddresses returns the callers' addresses of those that should serve next and have just spoken to this instance, as far as they
 // don't leave. Of the others it would not hear that they leave. It names itself if it is one of them, or knows of none.
-func (members *Members) Present() []string {
+func (members *Members) CandidateAddresses() []string {
 	var present []string
 	now := members.options.Clock.Now()
 	leading := members.roster.ranked(members).leading
@@ -48,14 +48,14 @@
 			present = append(present, member.Identity.Caller)
 		}
 	}
-	if members.state != Leaving && (len(present) == 0 || members.Leading()) {
+	if members.state != Leaving && (len(present) == 0 || members.TopRanked()) {
 		present = append(present, members.options.Self.Caller)
 	}
 	return present
 }
 
-// Peers returns the other instances that serve, by name. The list is not to be changed.
-func (members *Members) Peers() []*Member {
+// ServingPeers returns the other instances that serve, by name. The list is not to be changed.
+func (members *Members) ServingPeers() []*Member {
 	return members.roster.listServing()
 }
 
@@ -66,44 +66,44 @@
 
 // Leaders is what those that serve tell of the catalog.
 type Leaders struct {
-	// Newest is the newest revision that one of them has.
-	Newest catalog.Revision
-	// Heard is when one of them was last heard, Fresh when one whose view is fresh was; 0 when there is none.
-	Heard, Fresh clock.Moment
+	// NewestRevision is the newest revision that one of them has.
+	NewestRevision catalog.Revision
+	// LastSeen is when one of them was last heard, LastFresh when one whose view is fresh was; 0 when there is none.
+	LastSeen, LastFresh clock.Moment
 }
 
 // Leaders returns what the other instances that serve tell.
 func (members *Members) Leaders() Leaders {
 	var leaders Leaders
-	for _, peer := range members.Peers() {
-		leaders.Newest = max(leaders.Newest, peer.Revision)
-		leaders.Heard = max(leaders.Heard, peer.heard)
-		if peer.Fresh {
-			leaders.Fresh = max(leaders.Fresh, peer.heard)
+	for _, peer := range members.ServingPeers() {
+		leaders.NewestRevision = max(leaders.NewestRevision, peer.Revision)
+		leaders.LastSeen = max(leaders.LastSeen, peer.heard)
+		if peer.CatalogFresh {
+			leaders.LastFresh = max(leaders.LastFresh, peer.heard)
 		}
 	}
 	return leaders
 }
 
-// SetSpoke notes that an instance that serves has sent something else than a beat.
-func (members *Members) SetSpoke(incarnation Incarnation) {
-	for _, peer := range members.Peers() {
+// RecordMessage notes that an instance that serves has sent something else than a beat.
+func (members *Members) RecordMessage(incarnation Incarnation) {
+	for _, peer := range members.ServingPeers() {
 		if peer.Incarnation == incarnation {
 			peer.spoke = members.options.Clock.Now()
 		}
 	}
 }
 
-// ServingHeard returns how many of the instances that serve were heard within the given time, and how many serve, this one included in both.
-func (members *Members) ServingHeard(within clock.Milliseconds) (int, int) {
+// CountRecentServing returns how many of the instances that serve were heard within the given time, and how many serve, this one included in both.
+func (members *Members) CountRecentServing(within clock.Milliseconds) (int, int) {
 	now := members.options.Clock.Now()
 	heard := 1
-	for _, peer := range members.Peers() {
+	for _, peer := range members.ServingPeers() {
 		if now.Since(max(peer.heard, peer.spoke)) <= within {
 			heard++
 		}
 	}
-	return heard, len(members.Peers()) + 1
+	return heard, len(members.ServingPeers()) + 1
 }
 
 // CatalogFresh reports whether this instance itself reads the catalog and is answered.
