--- a/cmd/fleet_teams.go
+++ b/cmd/fleet_teams.go
@@ -30,7 +30,7 @@
 				team = &teamLine{usage: quota.Usage{Team: usage.Team, Rate: usage.Rate}}
 				byName[string(usage.Team)] = team
 			}
-			team.usage.LetIn += usage.LetIn
+			team.usage.Admitted += usage.Admitted
 			team.usage.Refused += usage.Refused
 			team.usage.Returned += usage.Returned
 			team.by = append(team.by, line.status.Instance)
@@ -51,7 +51,7 @@
 	fmt.Fprintln(table, "team\trate\tasked\tlet in\trefused\treturned\tby")
 	for _, team := range teamLines(lines) {
 		usage := team.usage
-		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%v\n", usage.Team, usage.Rate, usage.LetIn+usage.Refused, usage.LetIn, usage.Refused, usage.Returned, team.by)
+		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%v\n", usage.Team, usage.Rate, usage.Admitted+usage.Refused, usage.Admitted, usage.Refused, usage.Returned, team.by)
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -26,7 +26,7 @@
 	// AwaitTable waits a moment for a table when there is none yet. It may be nil.
 	AwaitTable func(context.Context) *routing.Table
 	// Quota holds teams to their rate limits; it may be nil.
-	Quota *quota.Ledger
+	Quota *quota.Limiter
 	// Keys tells what the API keys of the table in force are worth; nil means that they are current.
 	Keys func() team.KeyStanding
 	// Servers are the connections to backend servers.
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -105,7 +105,7 @@
 	if call.identity.team == nil || quota == nil {
 		return nil
 	}
-	wait, taken := quota.Take(call.identity.team.Name)
+	wait, taken := quota.Admit(call.identity.team.Name)
 	if !taken {
 		return &ending{status: http.StatusTooManyRequests, reason: outcome.ReasonTeamLimit, retryAfter: wait, cause: errTeamLimit}
 	}
@@ -116,7 +116,7 @@
 // repeatQuota counts another attempt against the team's rate limit.
 func (call *call) repeatQuota() {
 	if call.identity.taken {
-		call.handler.options.Quota.Repeat(call.identity.team.Name)
+		call.handler.options.Quota.RecordAttempt(call.identity.team.Name)
 	}
 }
 
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -115,7 +115,7 @@
 	Registry *metrics.Registry
 	Log      zerolog.Logger
 	// Quota holds teams to their rate limits; nil when nothing does.
-	Quota *quota.Ledger
+	Quota *quota.Limiter
 	// Send sends a datagram to a peer.
 	Send func(netip.AddrPort, []byte)
 	// SetJobs tells the prober what to probe.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -102,9 +102,9 @@
 
 // mostAsking returns the teams that asked here, those with the most refused requests first.
 func mostAsking(usages []quota.Usage) []quota.Usage {
-	usages = slices.DeleteFunc(usages, func(usage quota.Usage) bool { return usage.LetIn == 0 && usage.Refused == 0 })
+	usages = slices.DeleteFunc(usages, func(usage quota.Usage) bool { return usage.Admitted == 0 && usage.Refused == 0 })
 	slices.SortFunc(usages, func(left, right quota.Usage) int {
-		return cmp.Or(cmp.Compare(right.Refused, left.Refused), cmp.Compare(right.LetIn, left.LetIn), cmp.Compare(left.Team, right.Team))
+		return cmp.Or(cmp.Compare(right.Refused, left.Refused), cmp.Compare(right.Admitted, left.Admitted), cmp.Compare(left.Team, right.Team))
 	})
 	return usages[:min(len(usages), teamsTold)]
 }
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -90,7 +90,7 @@
 	controller.teams.reporters[membership.Incarnation(report.Sender)] = now
 	controller.members.RecordMessage(membership.Incarnation(report.Sender))
 	if controller.options.Quota != nil {
-		controller.options.Quota.Hear(*report)
+		controller.options.Quota.Receive(*report)
 	}
 }
 
@@ -139,7 +139,7 @@
 		return
 	}
 	controller.teams.nextShare = now.Add(shareQuotaEvery)
-	controller.options.Quota.SetShare(controller.countsTogether(now))
+	controller.options.Quota.SetFleetFraction(controller.countsTogether(now))
 }
 
 // countsTogether is the part of the fleet that reports to this instance and hears it. One that serves hears from all that live. Any other, or
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -30,14 +30,14 @@
 func TestReportsFitADatagram(t *testing.T) {
 	for _, count := range []int{1, 79, 100, 10_000} {
 		manual := clock.NewManual()
-		ledger := quota.NewLedger(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+		ledger := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 		ledger.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
-		ledger.SetShare(1)
+		ledger.SetFleetFraction(1)
 		teams := manyTeams(count)
 		ledger.SetTeams(teams)
 		manual.Advance(clock.Minute)
 		for index := range teams {
-			ledger.Take(teams[index].Name)
+			ledger.Admit(teams[index].Name)
 		}
 		reports := ledger.Reports(1 << 63)
 		whole := 0
@@ -57,9 +57,9 @@
 // Guards against a datagram of anybody's that empties a team's bucket for much longer than a second, or fills it beyond its burst.
 func FuzzReport(f *testing.F) {
 	manual := clock.NewManual()
-	known := quota.NewLedger(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+	known := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 	known.SetTeams(manyTeams(1))
-	known.Take("team-0")
+	known.Admit("team-0")
 	key := known.Reports(1)[0].Counts[0].Team
 	for _, report := range []quota.Report{
 		{Sender: 1, Sequence: 2, Counts: []quota.Count{{Team: key, Total: 4, Level: 5}}},
@@ -78,16 +78,16 @@
 			return
 		}
 		manual := clock.NewManual()
-		ledger := quota.NewLedger(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+		ledger := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 		ledger.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
-		ledger.SetShare(1)
+		ledger.SetFleetFraction(1)
 		ledger.SetTeams(manyTeams(1))
 		manual.Advance(clock.Minute)
 		full := ledger.Usage()[0].Level
-		ledger.Hear(*message.Quota)
+		ledger.Receive(*message.Quota)
 		require.LessOrEqual(t, ledger.Usage()[0].Level, full)
 		manual.Advance(1200 * clock.Millisecond)
-		_, letIn := ledger.Take("team-0")
+		_, letIn := ledger.Admit("team-0")
 		require.True(t, letIn)
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -85,7 +85,7 @@
 	prober     *sensing.Prober
 	datagrams  *instance.Datagrams
 	traces     *trace.Ring
-	quota      *quota.Ledger
+	quota      *quota.Limiter
 	updates    updateCache
 	callers    *httppart.Part
 	handler    *caller.Handler
@@ -112,7 +112,7 @@
 	gateway.bounds.Store(&options.Settings.Bounds)
 	gateway.storeAddress.Store(&options.Settings.StoreAddress)
 	gateway.servers = backendserver.NewServers(gateway.clock)
-	gateway.quota = quota.NewLedger(quota.Options{Clock: gateway.clock, Rand: rand.New(rand.NewPCG(options.Seed, 1))})
+	gateway.quota = quota.NewLimiter(quota.Options{Clock: gateway.clock, Rand: rand.New(rand.NewPCG(options.Seed, 1))})
 	gateway.makeControl()
 	if err := gateway.makeParts(); err != nil {
 		gateway.closeParts()
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -52,17 +52,17 @@
 	Team     team.Name `json:"team"`
 	Rate     float64   `json:"rate"`
 	Level    float64   `json:"level"`
-	LetIn    uint64    `json:"letIn"`
+	Admitted uint64    `json:"letIn"`
 	Refused  uint64    `json:"refused"`
 	Returned uint64    `json:"returned"`
 	Repeated uint64    `json:"repeated"`
-	// Elsewhere is the number of requests that other instances reported.
-	Elsewhere uint64 `json:"elsewhere"`
+	// Remote is the number of requests that other instances reported.
+	Remote uint64 `json:"elsewhere"`
 }
 
 // setLimit has a bucket let in what the team may send within a window, and a part of what it may send beyond that. Only a part of a burst
 // comes at once. The rest comes over the window, so that a team at its limit goes on to get what it may send in each.
-func (ledger *Ledger) setLimit(bucket *bucket, limit *team.Team) {
+func (ledger *Limiter) setLimit(bucket *bucket, limit *team.Team) {
 	window := float64(ledger.bounds.Window / clock.Second)
 	burst := atOnce * limit.Burst
 	bucket.rate = (ledger.within(limit) - burst) / window * (1 + overUsed*ledger.bounds.Over)
@@ -70,28 +70,28 @@
 }
 
 // within is the number of requests that a limit allows in a window.
-func (ledger *Ledger) within(limit *team.Team) float64 {
+func (ledger *Limiter) within(limit *team.Team) float64 {
 	return limit.Rate*float64(ledger.bounds.Window/clock.Second) + limit.Burst
 }
 
 // spare is the part of the excess allowed that one instance may use which counts with nobody.
-func (ledger *Ledger) spare(bucket *bucket) float64 {
+func (ledger *Limiter) spare(bucket *bucket) float64 {
 	return max((ledger.bounds.Over*ledger.within(&bucket.limit)+ledger.bounds.Slack)/startsMost, 1)
 }
 
 // room is how much a bucket holds at most.
-func (ledger *Ledger) room(bucket *bucket) float64 {
+func (ledger *Limiter) room(bucket *bucket) float64 {
 	return max(ledger.share*bucket.burst, min(ledger.spare(bucket), bucket.burst), 1)
 }
 
 // pace is how many requests a second come back into a bucket.
-func (ledger *Ledger) pace(bucket *bucket) float64 {
+func (ledger *Limiter) pace(bucket *bucket) float64 {
 	alone := ledger.spare(bucket) / float64(ledger.bounds.Window/clock.Second)
 	return max(ledger.share*bucket.rate, min(alone, bucket.rate))
 }
 
 // fill brings a bucket up to date.
-func (ledger *Ledger) fill(now clock.Moment, bucket *bucket) {
+func (ledger *Limiter) fill(now clock.Moment, bucket *bucket) {
 	passed := max(now.Since(bucket.filled), 0)
 	bucket.filled = now
 	room := ledger.room(bucket)
@@ -108,7 +108,7 @@
 }
 
 // wait is when room is expected for a caller that is refused now, spread by chance so that those refused together don't return together.
-func (ledger *Ledger) wait(bucket *bucket) clock.Milliseconds {
+func (ledger *Limiter) wait(bucket *bucket) clock.Milliseconds {
 	wait := clock.Milliseconds(max(1-bucket.level, 0)/ledger.pace(bucket)) * clock.Second
 	return min(max(wait, leastWait), mostWait) * clock.Milliseconds(1+waitSpread*ledger.random.Float64())
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -47,8 +47,8 @@
 	Rand  *rand.Rand
 }
 
-// Ledger counts the requests of teams against their limits. It is safe for concurrent use.
-type Ledger struct {
+// Limiter counts the requests of teams against their limits. It is safe for concurrent use.
+type Limiter struct {
 	clock *clock.Clock
 
 	mutex  sync.Mutex
@@ -68,23 +68,23 @@
 	nextForget clock.Moment
 }
 
-// NewLedger returns a ledger without teams.
-func NewLedger(options Options) *Ledger {
-	return &Ledger{
+// NewLimiter returns a ledger without teams.
+func NewLimiter(options Options) *Limiter {
+	return &Limiter{
 		clock: options.Clock, random: options.Rand, bounds: Bounds{Window: 5 * clock.Second},
 		buckets: map[team.Name]*bucket{}, byKey: map[TeamKey]*bucket{}, heard: map[Sender]*heardCounts{},
 	}
 }
 
 // SetBounds changes by how much limits may be exceeded.
-func (ledger *Ledger) SetBounds(bounds Bounds) {
+func (ledger *Limiter) SetBounds(bounds Bounds) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	ledger.bounds = bounds
 }
 
-// SetShare notes which part of the fleet this instance counts together with, from 0 to 1.
-func (ledger *Ledger) SetShare(seen float64) {
+// SetFleetFraction notes which part of the fleet this instance counts together with, from 0 to 1.
+func (ledger *Limiter) SetFleetFraction(seen float64) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	share := ledger.shareOf(seen)
@@ -98,15 +98,15 @@
 	ledger.share = share
 }
 
-// Change is a limit that has changed, in requests a second and at once.
-type Change struct {
+// LimitChange is a limit that has changed, in requests a second and at once.
+type LimitChange struct {
 	Team                team.Name
 	Before, Rate, Burst float64
 }
 
 // shareOf is the part of each limit that a part of the fleet may use. Two parts that make up the whole use no more together than the limit
 // and the part of the excess that is meant for that.
-func (ledger *Ledger) shareOf(seen float64) float64 {
+func (ledger *Limiter) shareOf(seen float64) float64 {
 	together := 1 + overApart*ledger.bounds.Over
 	switch {
 	case seen >= largePart:
@@ -120,12 +120,12 @@
 }
 
 // SetTeams replaces the limits, and returns those that differ from before. What a team has used stays; a lower limit holds at once.
-func (ledger *Ledger) SetTeams(teams []team.Team) []Change {
+func (ledger *Limiter) SetTeams(teams []team.Team) []LimitChange {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	now := ledger.clock.Now()
 	kept := make(map[team.Name]bool, len(teams))
-	var changes []Change
+	var changes []LimitChange
 	for index := range teams {
 		named := &teams[index]
 		if !named.Limited() {
@@ -143,7 +143,7 @@
 			ledger.byKey[known.key] = known
 		}
 		if known.limit.Rate != named.Rate || known.limit.Burst != named.Burst {
-			changes = append(changes, Change{Team: named.Name, Before: known.limit.Rate, Rate: named.Rate, Burst: named.Burst})
+			changes = append(changes, LimitChange{Team: named.Name, Before: known.limit.Rate, Rate: named.Rate, Burst: named.Burst})
 		}
 		ledger.fill(now, known)
 		ledger.setLimit(known, named)
@@ -160,8 +160,8 @@
 	return changes
 }
 
-// Take lets a request of the team in, or returns when its caller may come back. A team without a limit is always let in.
-func (ledger *Ledger) Take(name team.Name) (clock.Milliseconds, bool) {
+// Admit lets a request of the team in, or returns when its caller may come back. A team without a limit is always let in.
+func (ledger *Limiter) Admit(name team.Name) (clock.Milliseconds, bool) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	bucket, limited := ledger.buckets[name]
@@ -177,12 +177,12 @@
 	ledger.report(now, bucket)
 	bucket.level--
 	bucket.total++
-	bucket.usage.LetIn++
+	bucket.usage.Admitted++
 	return 0, true
 }
 
-// Repeat counts another attempt of a request that was let in and may have run. It is not refused, but what comes after it may be.
-func (ledger *Ledger) Repeat(name team.Name) {
+// RecordAttempt counts another attempt of a request that was let in and may have run. It is not refused, but what comes after it may be.
+func (ledger *Limiter) RecordAttempt(name team.Name) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	bucket, limited := ledger.buckets[name]
@@ -198,7 +198,7 @@
 }
 
 // Return gives back what a request took that has not run and never will.
-func (ledger *Ledger) Return(name team.Name) {
+func (ledger *Limiter) Return(name team.Name) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	bucket, limited := ledger.buckets[name]
@@ -214,7 +214,7 @@
 }
 
 // Exhausted reports whether the team has nothing left for a second copy of a request.
-func (ledger *Ledger) Exhausted(name team.Name) bool {
+func (ledger *Limiter) Exhausted(name team.Name) bool {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	bucket, limited := ledger.buckets[name]
@@ -226,7 +226,7 @@
 }
 
 // Usage returns what is known of each limited team, in no particular order.
-func (ledger *Ledger) Usage() []Usage {
+func (ledger *Limiter) Usage() []Usage {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	now := ledger.clock.Now()
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -12,20 +12,20 @@
 )
 
 // newTestLedger returns a ledger of an instance that counts with the whole fleet and has run for a while.
-func newTestLedger(manual *clock.Manual, teams ...team.Team) *Ledger {
-	ledger := NewLedger(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+func newTestLedger(manual *clock.Manual, teams ...team.Team) *Limiter {
+	ledger := NewLimiter(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 	ledger.SetBounds(modelBounds)
-	ledger.SetShare(1)
+	ledger.SetFleetFraction(1)
 	ledger.SetTeams(teams)
 	manual.Advance(clock.Minute)
 	return ledger
 }
 
 // takeAll takes as many requests as are let in at once.
-func takeAll(ledger *Ledger, name team.Name) int {
+func takeAll(ledger *Limiter, name team.Name) int {
 	taken := 0
 	for {
-		if _, letIn := ledger.Take(name); !letIn {
+		if _, letIn := ledger.Admit(name); !letIn {
 			return taken
 		}
 		taken++
@@ -54,15 +54,15 @@
 func TestSmallTeamIsServed(t *testing.T) {
 	manual := clock.NewManual()
 	ledger := newTestLedger(manual, team.Team{Name: "solo", Rate: 0.2, Burst: 0.2})
-	ledger.SetShare(0.05)
-	_, letIn := ledger.Take("solo")
+	ledger.SetFleetFraction(0.05)
+	_, letIn := ledger.Admit("solo")
 	require.True(t, letIn)
 }
 
 func TestTeamWithoutLimitIsNeverRefused(t *testing.T) {
 	ledger := newTestLedger(clock.NewManual(), team.Team{Name: "free"})
 	for range 1000 {
-		_, letIn := ledger.Take("free")
+		_, letIn := ledger.Admit("free")
 		require.True(t, letIn)
 	}
 }
@@ -72,12 +72,12 @@
 	manual := clock.NewManual()
 	ledger := newTestLedger(manual, team.Team{Name: "brass", Rate: 2, Burst: 2})
 	takeAll(ledger, "brass")
-	wait, letIn := ledger.Take("brass")
+	wait, letIn := ledger.Admit("brass")
 	require.False(t, letIn)
 	require.GreaterOrEqual(t, float64(wait), float64(300*clock.Millisecond))
 	require.LessOrEqual(t, float64(wait), float64(2*mostWait))
 	manual.Advance(wait)
-	_, letIn = ledger.Take("brass")
+	_, letIn = ledger.Admit("brass")
 	require.True(t, letIn)
 }
 
@@ -86,17 +86,17 @@
 	manual := clock.NewManual()
 	limit := team.Team{Name: "brass", Rate: 10, Burst: 10}
 	here, there := newTestLedger(manual, limit), newTestLedger(manual, limit)
-	there.Take("brass")
+	there.Admit("brass")
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	before := here.Usage()[0].Level
 	for range 40 {
-		there.Repeat("brass")
+		there.RecordAttempt("brass")
 	}
 	require.True(t, there.Exhausted("brass"))
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	require.Less(t, here.Usage()[0].Level, before-10)
 }
@@ -108,16 +108,16 @@
 	there := newTestLedger(manual, team.Team{Name: "brass", Rate: 10, Burst: 10})
 	before := here.Usage()[0].Level
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
-	_, letIn := there.Take("brass")
+	_, letIn := there.Admit("brass")
 	require.True(t, letIn)
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	there.Return("brass")
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	require.InDelta(t, before, here.Usage()[0].Level, 1e-9)
 }
@@ -130,15 +130,15 @@
 	manual.Advance(clock.Second)
 	var reports []Report
 	for range 3 {
-		_, letIn := there.Take("brass")
+		_, letIn := there.Admit("brass")
 		require.True(t, letIn)
 		reports = append(reports, there.Reports(1)...)
 	}
 	require.Len(t, reports, 3)
-	here.Hear(reports[0])
+	here.Receive(reports[0])
 	level := here.Usage()[0].Level
 	for _, report := range []Report{reports[2], reports[1], reports[2], reports[0]} {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	require.InDelta(t, level-2, here.Usage()[0].Level, 1e-9)
 }
@@ -148,16 +148,16 @@
 	manual := clock.NewManual()
 	ledger := newTestLedger(manual, team.Team{Name: "brass", Rate: 100, Burst: 100})
 	changes := ledger.SetTeams([]team.Team{{Name: "brass", Rate: 10, Burst: 10}})
-	require.Equal(t, []Change{{Team: "brass", Before: 100, Rate: 10, Burst: 10}}, changes)
+	require.Equal(t, []LimitChange{{Team: "brass", Before: 100, Rate: 10, Burst: 10}}, changes)
 	require.LessOrEqual(t, takeAll(ledger, "brass"), 10+int(modelBounds.Slack))
 }
 
 // Guards against a bucket that starts full: hundreds of instances that are restarted together would let in a burst each.
 func TestStartsWithLittle(t *testing.T) {
 	manual := clock.NewManual()
-	ledger := NewLedger(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+	ledger := NewLimiter(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 	ledger.SetBounds(modelBounds)
-	ledger.SetShare(1)
+	ledger.SetFleetFraction(1)
 	ledger.SetTeams([]team.Team{{Name: "brass", Rate: 100, Burst: 100}})
 	require.LessOrEqual(t, takeAll(ledger, "brass"), 10)
 }
@@ -169,7 +169,7 @@
 	here, there := newTestLedger(manual, limit), newTestLedger(manual, limit)
 	takeAll(there, "brass")
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	require.LessOrEqual(t, takeAll(here, "brass"), 1)
 }
@@ -179,19 +179,19 @@
 	manual := clock.NewManual()
 	limit := team.Team{Name: "brass", Rate: 100, Burst: 100}
 	here, there := newTestLedger(manual, limit), newTestLedger(manual, limit)
-	there.Take("brass")
+	there.Admit("brass")
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	for range 50 {
 		manual.Advance(100 * clock.Millisecond)
 		for range 5 {
-			there.Take("brass")
+			there.Admit("brass")
 		}
 	}
 	level := here.Usage()[0].Level
 	for _, report := range there.Reports(1) {
-		here.Hear(report)
+		here.Receive(report)
 	}
 	require.Greater(t, here.Usage()[0].Level, level/2)
 }
@@ -216,7 +216,7 @@
 			ledger := newTestLedger(manual, teams...)
 			b.ReportAllocs()
 			for b.Loop() {
-				ledger.Take(teams[count/2].Name)
+				ledger.Admit(teams[count/2].Name)
 				manual.Advance(clock.Millisecond)
 			}
 		})
@@ -230,7 +230,7 @@
 			teams := largeTeams(count)
 			ledger := newTestLedger(manual, teams...)
 			for index := range teams {
-				ledger.Take(teams[index].Name)
+				ledger.Admit(teams[index].Name)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -53,7 +53,7 @@
 
 // modelInstance is one instance that serves.
 type modelInstance struct {
-	ledger *Ledger
+	ledger *Limiter
 	sender Sender
 	// up says that it runs, part is the part of the fleet in which it is.
 	up   bool
@@ -133,11 +133,11 @@
 
 func (model *model) start(number int) {
 	model.starts++
-	ledger := NewLedger(Options{Clock: &model.clock.Clock, Rand: rand.New(rand.NewPCG(uint64(model.starts), 1))})
+	ledger := NewLimiter(Options{Clock: &model.clock.Clock, Rand: rand.New(rand.NewPCG(uint64(model.starts), 1))})
 	ledger.SetBounds(modelBounds)
-	ledger.SetShare(modelUnsettled)
+	ledger.SetFleetFraction(modelUnsettled)
 	if model.mutant == fullAtStart {
-		ledger.SetShare(1)
+		ledger.SetFleetFraction(1)
 	}
 	ledger.SetTeams(model.limits())
 	if model.mutant == fullAtStart {
@@ -159,7 +159,7 @@
 		ledger.share = (1 + overApart*modelBounds.Over) / modelInstances
 		return
 	}
-	ledger.SetShare(model.share(number))
+	ledger.SetFleetFraction(model.share(number))
 }
 
 // share is the part of the fleet that an instance counts together with.
@@ -236,7 +236,7 @@
 		}
 		to.heardOf[datagram.from] = now
 		if datagram.report.Sequence > 0 && model.policy == countTogether && model.mutant != hearsNothing {
-			to.ledger.Hear(datagram.report)
+			to.ledger.Receive(datagram.report)
 		}
 	}
 	model.flying = left
@@ -260,7 +260,7 @@
 			named.fair--
 		}
 		named.asked = append(named.asked, now)
-		_, taken := instance.ledger.Take(named.Name)
+		_, taken := instance.ledger.Admit(named.Name)
 		switch {
 		case taken && model.random.IntN(20) == 0:
 			instance.ledger.Return(named.Name)
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -59,7 +59,7 @@
 }
 
 // report has the bucket's count reported.
-func (ledger *Ledger) report(now clock.Moment, bucket *bucket) {
+func (ledger *Limiter) report(now clock.Moment, bucket *bucket) {
 	bucket.reportUntil = now.Add(repeatFor)
 	if !bucket.reported {
 		bucket.reported = true
@@ -68,7 +68,7 @@
 }
 
 // Reports returns what other instances are to hear, each of which fits into one datagram; nil when there is nothing.
-func (ledger *Ledger) Reports(sender Sender) []Report {
+func (ledger *Limiter) Reports(sender Sender) []Report {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	now := ledger.clock.Now()
@@ -94,15 +94,15 @@
 }
 
 // EmptyReport returns a report that says only that its sender hears others.
-func (ledger *Ledger) EmptyReport(sender Sender) Report {
+func (ledger *Limiter) EmptyReport(sender Sender) Report {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	ledger.sequence++
 	return Report{Sender: sender, Sequence: ledger.sequence}
 }
 
-// Hear takes what another instance has let in out of the buckets. A report that comes late or twice changes nothing.
-func (ledger *Ledger) Hear(report Report) {
+// Receive takes what another instance has let in out of the buckets. A report that comes late or twice changes nothing.
+func (ledger *Limiter) Receive(report Report) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	now := ledger.clock.Now()
@@ -147,7 +147,7 @@
 }
 
 // takeElsewhere takes requests off that another instance has let in; a negative number gives them back.
-func (ledger *Ledger) takeElsewhere(now clock.Moment, bucket *bucket, step int32) {
+func (ledger *Limiter) takeElsewhere(now clock.Moment, bucket *bucket, step int32) {
 	if step == 0 {
 		return
 	}
@@ -155,11 +155,11 @@
 	level := max(bucket.level-float64(step), min(bucket.leastLevel(), bucket.level))
 	bucket.level = min(level, ledger.room(bucket))
 	if step > 0 {
-		bucket.usage.Elsewhere += uint64(step)
+		bucket.usage.Remote += uint64(step)
 	}
 }
 
-func (ledger *Ledger) forgetSilent(now clock.Moment) {
+func (ledger *Limiter) forgetSilent(now clock.Moment) {
 	if now < ledger.nextForget {
 		return
 	}
