--- a/cmd/fleet_teams_test.go
+++ b/cmd/fleet_teams_test.go
@@ -12,7 +12,9 @@
 
 func TestTeamsOfAFleet(t *testing.T) {
 	lines := []fleetLine{
-		{status: fleet.Status{Instance: "entry-1", Teams: []quota.Usage{{Team: "brass", Rate: 10, Admitted: 5}, {Team: "strings", Rate: 2, Admitted: 3, Refused: 4, Returned: 1}}}},
+		{status: fleet.Status{Instance: "entry-1", Teams: []quota.Usage{
+			{Team: "brass", Rate: 10, Admitted: 5}, {Team: "strings", Rate: 2, Admitted: 3, Refused: 4, Returned: 1},
+		}}},
 		{status: fleet.Status{Instance: "entry-2", Teams: []quota.Usage{{Team: "strings", Rate: 2, Admitted: 1, Refused: 1}}}},
 		{status: fleet.Status{Instance: "entry-3"}},
 	}
