--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -8,66 +8,66 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// MemberSummary is what a beat tells of another member.
+// MemberSummary is the part of a heartbeat that describes another member.
 type MemberSummary struct {
 	_        struct{} `cbor:",toarray"`
 	Identity Identity
 	State    State
 }
 
-// Heartbeat says that its sender lives.
+// Heartbeat announces that its sender is alive, and the state and catalog that it has.
 type Heartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	Identity    Identity
 	Incarnation Incarnation
 	Sequence    uint64
 	State       State
-	// Revision and Version are those of the catalog that the sender has.
+	// Revision and Version are those of the sender's catalog.
 	Revision catalog.Revision
 	Version  catalog.Version
-	// CatalogFresh says that the sender itself reads the catalog and is answered.
+	// CatalogFresh is whether the sender itself reads the store and the store answers.
 	CatalogFresh bool
-	// WantsReply says that the sender looks for those who serve, and waits for an answer.
+	// WantsReply is whether the sender looks for serving instances and waits for a reply.
 	WantsReply bool
 	Summaries  []MemberSummary
-	// Promoted are instances that stand by and are to serve, in the view of a serving sender.
+	// Promoted are the standby instances that should begin to serve, in the view of a serving sender.
 	Promoted []settings.InstanceName
 }
 
-// DueHeartbeats returns where beats are to be sent now, and counts them as sent.
+// DueHeartbeats returns the addresses to which a heartbeat is due now, and records them as sent.
 func (members *Members) DueHeartbeats() []netip.AddrPort {
 	now := members.options.Clock.Now()
 	var due []netip.AddrPort
 	leaderless := members.Leaderless()
 	for _, member := range members.roster.all {
-		every, wanted := members.pace(member, leaderless)
-		paced := wanted && now >= member.next
-		owed := member.owed && now.Since(member.sent) >= replyEvery
-		if paced || owed {
-			member.next = now.Add(every)
-			member.sent = now
-			member.owed, member.replied = false, !paced
+		interval, wanted := members.heartbeatInterval(member, leaderless)
+		scheduled := wanted && now >= member.nextHeartbeat
+		replyDue := member.replyDue && now.Since(member.lastSent) >= minReplyInterval
+		if scheduled || replyDue {
+			member.nextHeartbeat = now.Add(interval)
+			member.lastSent = now
+			member.replyDue, member.lastWasReply = false, !scheduled
 			due = append(due, member.Address)
 		}
 	}
 	for _, seed := range members.options.Seeds {
-		if now < members.seedNext[seed] || seed == members.self || members.heardFrom(seed) {
+		if now < members.nextSeedHeartbeat[seed] || seed == members.self || members.isActive(seed) {
 			continue
 		}
-		every := lostEvery
-		if now.Since(members.started) < seekSeedsFor {
-			every = joinEvery
+		interval := lostInterval
+		if now.Since(members.started) < seedDiscoveryPeriod {
+			interval = joinInterval
 		}
-		members.seedNext[seed] = now.Add(every)
+		members.nextSeedHeartbeat[seed] = now.Add(interval)
 		due = append(due, seed)
 	}
 	return due
 }
 
-// heardFrom reports whether a member that lives has spoken from the address.
-func (members *Members) heardFrom(address netip.AddrPort) bool {
-	member, known := members.roster.at(address)
-	return known && member.State != Lost && member.heard > 0
+// isActive reports whether a heartbeat came from the address and its member is not lost.
+func (members *Members) isActive(address netip.AddrPort) bool {
+	member, known := members.roster.findByAddress(address)
+	return known && member.State != Lost && member.lastSeen > 0
 }
 
 // Leaderless reports whether no serving instance is known.
@@ -75,103 +75,106 @@
 	return members.state != Serving && len(members.ServingPeers()) == 0
 }
 
-// asks reports whether the member is asked while nobody is known to serve: one that could serve, or that others ask.
-func (members *Members) asks(member *Member) bool {
-	return members.roster.ranked(members).leading[member] || members.isSeed(member.Address)
+// isQueried reports whether the member is queried while no serving instance is known: it is top-ranked, or a seed, which other
+// instances query too.
+func (members *Members) isQueried(member *Member) bool {
+	return members.roster.currentRanking(members).topRanked[member] || members.isSeed(member.Address)
 }
 
-// near reports whether the member tells who comes first in the own data centre: those there know, and seeds.
-func (members *Members) near(member *Member) bool {
+// isLocalOrSeed reports whether the member knows the ranking of this instance's data centre: members of that data centre and seeds
+// do.
+func (members *Members) isLocalOrSeed(member *Member) bool {
 	return member.Identity.DataCentre == members.options.Self.DataCentre || members.isSeed(member.Address)
 }
 
-// pace is how often a member is sent a beat, and whether it is at all. In a fleet that has just been started nobody speaks to all others:
-// the number of datagrams would grow with the square of that of instances.
-func (members *Members) pace(member *Member, leaderless bool) (clock.Milliseconds, bool) {
+// heartbeatInterval returns the time between two heartbeats to a member, and whether it is sent any. In a fleet that has just
+// started, no instance contacts all others: the number of datagrams would grow with the square of the number of instances.
+func (members *Members) heartbeatInterval(member *Member, leaderless bool) (clock.Milliseconds, bool) {
 	serves := members.state == Serving
 	switch {
 	case member.State == Lost:
-		return lostEvery, serves || leaderless
+		return lostInterval, serves || leaderless
 	case members.state == Joining:
-		return joinEvery, member.State == Serving || members.near(member) && members.asks(member)
+		return joinInterval, member.State == Serving || members.isLocalOrSeed(member) && members.isQueried(member)
 	case serves && (member.State == Serving || member.State == Joining):
-		return servingEvery, true
+		return servingInterval, true
 	case serves || member.State == Serving:
-		return standbyEvery, true
+		return standbyInterval, true
 	case members.state == Leaving:
-		return standbyEvery, member.next == 0
+		return standbyInterval, member.nextHeartbeat == 0
 	default:
-		return members.askEvery(member), leaderless && members.asks(member)
+		return members.queryInterval(member), leaderless && members.isQueried(member)
 	}
 }
 
-// askEvery is how often a member is asked while nobody is known to serve.
-func (members *Members) askEvery(member *Member) clock.Milliseconds {
-	if members.near(member) && members.options.Clock.Now().Since(members.started) < startsFor {
-		return joinEvery
+// queryInterval is the time between two heartbeats to a queried member while no serving instance is known.
+func (members *Members) queryInterval(member *Member) clock.Milliseconds {
+	if members.isLocalOrSeed(member) && members.options.Clock.Now().Since(members.started) < startupPeriod {
+		return joinInterval
 	}
-	return servingEvery
+	return servingInterval
 }
 
-// NewHeartbeat makes the beat for one receiver.
+// NewHeartbeat returns the next heartbeat for the receiver at the address.
 func (members *Members) NewHeartbeat(to netip.AddrPort) Heartbeat {
 	members.sequence++
-	beat := Heartbeat{
+	heartbeat := Heartbeat{
 		Identity: members.options.Self, Incarnation: members.options.Incarnation, Sequence: members.sequence, State: members.state,
-		Revision: members.revision, Version: members.version, CatalogFresh: members.fresh, Promoted: members.calls(),
+		Revision: members.revision, Version: members.version, CatalogFresh: members.fresh, Promoted: members.promotions(),
 	}
-	if member, known := members.roster.at(to); members.state == Joining || members.Leaderless() {
-		beat.WantsReply = !known || !member.replied
+	if member, known := members.roster.findByAddress(to); members.state == Joining || members.Leaderless() {
+		heartbeat.WantsReply = !known || !member.lastWasReply
 	}
-	if !members.newsFor(to) {
-		return beat
+	if !members.includesSummaries(to) {
+		return heartbeat
 	}
-	beat.Summaries = members.mentions()
-	return beat
+	heartbeat.Summaries = members.summaries()
+	return heartbeat
 }
 
-// newsFor reports whether the receiver is to be told of others: for a while after a change, and every now and then in case
-// that was lost. Mentions make up most of a beat's bytes.
-func (members *Members) newsFor(to netip.AddrPort) bool {
-	if members.options.Clock.Now().Since(members.changed) < tellChangesFor || members.sequence%tellEvery == 0 {
+// includesSummaries reports whether the next heartbeat to the receiver contains member summaries: for some time after a change, and
+// periodically in case those heartbeats were lost. Summaries make up most of a heartbeat's bytes.
+func (members *Members) includesSummaries(to netip.AddrPort) bool {
+	if members.options.Clock.Now().Since(members.changedAt) < summariesAfterChange || members.sequence%summariesEvery == 0 {
 		return true
 	}
-	member, known := members.roster.at(to)
-	return !known || member.replied
+	member, known := members.roster.findByAddress(to)
+	return !known || member.lastWasReply
 }
 
-// mentions tells of serving and newly lost members first, then of those that should serve, and of the others in turn. Whoever is asked
-// tells of them, also an instance that stands by: after all were restarted at once, those that serve may know nobody but the seeds.
-func (members *Members) mentions() []MemberSummary {
+// summaries returns the member summaries for one heartbeat: first serving members, members to promote and recently lost ones, then
+// the others in turn. Standby instances send them too: after a restart of the whole fleet, the serving instances may know only the
+// seeds.
+func (members *Members) summaries() []MemberSummary {
 	now := members.options.Clock.Now()
-	ranking := members.roster.ranked(members)
-	var serving, next, lost, others []MemberSummary
+	ranking := members.roster.currentRanking(members)
+	var serving, toPromote, lost, others []MemberSummary
 	for _, member := range members.All() {
-		mention := MemberSummary{Identity: member.Identity, State: member.State}
+		summary := MemberSummary{Identity: member.Identity, State: member.State}
 		switch {
 		case member.State == Serving:
-			serving = append(serving, mention)
-		case ranking.due[member]:
-			next = append(next, mention)
+			serving = append(serving, summary)
+		case ranking.toPromote[member]:
+			toPromote = append(toPromote, summary)
 		case member.State != Lost:
-			others = append(others, mention)
-		case now.Since(member.heard) < 2*standbySilence:
-			lost = append(lost, mention)
+			others = append(others, summary)
+		case now.Since(member.lastSeen) < 2*standbyTimeout:
+			lost = append(lost, summary)
 		}
 	}
-	members.cursor++
-	mentions := inTurn(serving, members.cursor, mentionsMost)
-	mentions = append(mentions, inTurn(next, members.cursor, mentionsMost)...)
-	mentions = append(mentions, inTurn(lost, members.cursor, mentionsMost-len(mentions))...)
-	return append(mentions, inTurn(others, members.cursor, mentionsOfStandby)...)
+	members.summaryCursor++
+	summaries := rotate(serving, members.summaryCursor, maxSummaries)
+	summaries = append(summaries, rotate(toPromote, members.summaryCursor, maxSummaries)...)
+	summaries = append(summaries, rotate(lost, members.summaryCursor, maxSummaries-len(summaries))...)
+	return append(summaries, rotate(others, members.summaryCursor, maxStandbySummaries)...)
 }
 
-// inTurn takes a number of mentions, others each time.
-func inTurn(mentions []MemberSummary, turn, most int) []MemberSummary {
-	most = min(max(most, 0), len(mentions))
-	taken := make([]MemberSummary, 0, most)
-	for offset := range most {
-		taken = append(taken, mentions[(turn*most+offset)%len(mentions)])
+// rotate returns up to count summaries, the next ones with each turn.
+func rotate(summaries []MemberSummary, turn, count int) []MemberSummary {
+	count = min(max(count, 0), len(summaries))
+	selected := make([]MemberSummary, 0, count)
+	for offset := range count {
+		selected = append(selected, summaries[(turn*count+offset)%len(summaries)])
 	}
-	return taken
+	return selected
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,19 +1,19 @@
-// Package membership knows the instances of a fleet that finds itself: who lives, who serves callers, and who takes over.
-// It is pure: it does no I/O, and time is given.
+// Package membership tracks the instances of a fleet that discovers its own members: which are alive, which serve callers, and
+// which take over when a serving instance fails. It is pure: it does no I/O, and the time comes from the given clock.
 //
-// A few instances of each data centre serve; the others stand by. Serving instances tell each other several times a
-// second that they live. The others exchange a word with each serving one once a second, so what an instance spends does
-// not grow with those that stand by. When a serving instance falls silent, the others that serve say so to everyone at
-// once, and whoever comes next in its data centre begins to serve. No two need to agree at any moment: a data centre
-// that two serve for a while is served as well.
+// A few instances of each data centre serve; the others are on standby. Serving instances exchange heartbeats several times a
+// second. Each standby instance exchanges one heartbeat a second with each serving instance, so what it sends does not
+// grow with the number of standby instances. When a serving instance stops sending heartbeats, the remaining serving instances
+// report its loss to all members at once, and the next instance of its data centre by rank begins to serve. Instances need not
+// agree at any moment: a data centre in which two instances serve for a while is still served.
 //
 // # Usage
 //
 //	members := membership.New(membership.Options{Self: self, Seeds: seeds, Clock: clock})
-//	for _, address := range members.Due() { send(address, members.Beat(address)) }
-//	members.Hear(beat)
-//	members.Review()
-//	if members.Needed() { ... }
+//	for _, address := range members.DueHeartbeats() { send(address, members.NewHeartbeat(address)) }
+//	members.Receive(heartbeat)
+//	members.UpdateStates()
+//	if members.ShouldServe() { ... }
 package membership
 
 import (
@@ -24,111 +24,114 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Times of membership.
+// Intervals and timeouts of membership.
 const (
-	// servingEvery is the time between two beats of serving instances to each other: a silent one is noticed within
-	// servingSilence, which leaves room for two lost datagrams.
-	servingEvery   = 250 * clock.Millisecond
-	servingSilence = 900 * clock.Millisecond
-	// standbyEvery is the time between two beats between a serving instance and one that stands by.
-	standbyEvery   = clock.Second
-	standbySilence = 3200 * clock.Millisecond
-	// askedSilence is how long one may be silent that is asked several times a second because nobody serves.
-	askedSilence = 1600 * clock.Millisecond
-	// joinFor is how long an instance that has just started listens before it may serve. All of a fleet start within
-	// 0.3 s, and seeds take a round trip to tell of the others. What more of it would save is two instances that serve
-	// one data centre for some seconds; what less of it saves is callers who find nobody after all were killed.
-	joinFor   = 300 * clock.Millisecond
-	joinEvery = 100 * clock.Millisecond
-	// replyEvery is the least time between two replies to one that asks.
-	replyEvery = 50 * clock.Millisecond
-	// seekSeedsFor is how long seeds that don't answer are asked often: after all were restarted at once they may be the
-	// last to be there, and nobody knows anyone else.
-	seekSeedsFor = 3 * clock.Second
-	// lostEvery is the time between two beats to an instance that was lost, so that it is found when it returns, and
-	// forgetAfter the time after which it is given up.
-	lostEvery   = 2 * clock.Second
-	forgetAfter = clock.Minute
-	// sightToForget is the part of the fleet that must be seen for others to be given up: whoever has lost sight of most is more
-	// likely cut off than alone.
-	sightToForget = 0.5
-	// directlyHeard is how recent a serving member's own word must be to go before another one's word that it is lost, and
-	// rarelyHeard that of the others, who speak once a second.
-	directlyHeard = 450 * clock.Millisecond
-	rarelyHeard   = standbyEvery + directlyHeard
-	// startsFor is how long after its start an instance decides by itself whether to serve: when all were restarted, nobody
-	// who could call it knows more.
-	startsFor = 1500 * clock.Millisecond
-	// hearsFor is how long after the first word of another instance one that has started hears of those that come before it, meetsWithin how
-	// long it waits for that word. Hundreds that know of nobody would else all serve at once.
-	hearsFor    = 250 * clock.Millisecond
-	meetsWithin = clock.Second
-	// callAfter is how long an instance serves before it calls others: it must have heard all that serve first. callHolds
-	// is how long its call is followed.
-	callAfter = 400 * clock.Millisecond
-	callHolds = 500 * clock.Millisecond
-	// demoteAfter is how long a serving instance is not needed before it stands by.
+	// servingInterval is the time between two heartbeats of serving instances to each other. A serving instance is detected as lost
+	// after servingTimeout, which allows for two lost datagrams.
+	servingInterval = 250 * clock.Millisecond
+	servingTimeout  = 900 * clock.Millisecond
+	// standbyInterval is the time between two heartbeats between a serving and a standby instance.
+	standbyInterval = clock.Second
+	standbyTimeout  = 3200 * clock.Millisecond
+	// queryTimeout is the time without a heartbeat after which a member counts as lost that is queried several times a second because no
+	// instance serves.
+	queryTimeout = 1600 * clock.Millisecond
+	// joinPeriod is how long an instance listens after its start before it may serve. A whole fleet starts within 0.3 s, and
+	// learning the other instances from a seed takes one round trip. A longer period would prevent two instances from serving one
+	// data centre for some seconds; a shorter one reduces the time in which callers find no serving instance after the whole fleet
+	// was killed.
+	joinPeriod   = 300 * clock.Millisecond
+	joinInterval = 100 * clock.Millisecond
+	// minReplyInterval is the minimum time between two replies to the same querying instance.
+	minReplyInterval = 50 * clock.Millisecond
+	// seedDiscoveryPeriod is how long after the start seeds that do not answer are contacted at joinInterval: after a restart of the whole
+	// fleet the seeds may be the last to return, and no instance knows any other.
+	seedDiscoveryPeriod = 3 * clock.Second
+	// lostInterval is the time between two heartbeats to a lost instance, so that it is found when it returns. removeLostAfter is the
+	// time after which a lost instance is removed.
+	lostInterval    = 2 * clock.Second
+	removeLostAfter = clock.Minute
+	// minVisibleToRemove is the fraction of the fleet that must be visible for lost members to be removed: an instance that has lost
+	// most of the others is more likely cut off than the only one left.
+	minVisibleToRemove = 0.5
+	// servingRecency is how recent the last heartbeat of a serving member must be to override an indirect report of its loss.
+	// standbyRecency is the same for the other members, which send one heartbeat a second.
+	servingRecency = 450 * clock.Millisecond
+	standbyRecency = standbyInterval + servingRecency
+	// startupPeriod is how long after its start an instance decides by itself whether to serve: after a restart of the whole fleet no
+	// instance that could promote it knows more than it does.
+	startupPeriod = 1500 * clock.Millisecond
+	// discoveryPeriod is how long after the first heartbeat of another instance a starting instance waits to learn of higher-ranked ones
+	// before it may serve. firstContactTimeout is how long it waits for that first heartbeat. Without these waits, hundreds of instances
+	// that know no other would all serve at once.
+	discoveryPeriod     = 250 * clock.Millisecond
+	firstContactTimeout = clock.Second
+	// promoteAfter is how long an instance serves before it promotes others: it must first have received heartbeats from all serving
+	// instances. promotionValidFor is how long a promotion that it sent is valid.
+	promoteAfter      = 400 * clock.Millisecond
+	promotionValidFor = 500 * clock.Millisecond
+	// demoteAfter is how long a serving instance must be surplus before it returns to standby.
 	demoteAfter = 1500 * clock.Millisecond
-	// avoidFor is how long an instance is not called again that did not answer a call.
-	avoidFor = clock.Second
+	// retryUnreachableAfter is how long an instance that did not answer a request is not sent another.
+	retryUnreachableAfter = clock.Second
 )
 
-// servingLeast is the number of serving instances that a fleet should have at least, whatever its data centres: the loss
-// of one should leave two thirds of the capacity at hand.
-const servingLeast = 3
+// minServing is the minimum number of serving instances of a fleet, however many data centres it has: after the loss of one, two
+// thirds of the capacity should remain.
+const minServing = 3
 
-// tellChangesFor is how long beats tell of others after a change, tellEvery how many beats pass between two that do
-// otherwise.
+// summariesAfterChange is how long after a change every heartbeat contains member summaries. Otherwise one heartbeat in summariesEvery
+// contains them.
 const (
-	tellChangesFor = 2500 * clock.Millisecond
-	tellEvery      = 7
+	summariesAfterChange = 2500 * clock.Millisecond
+	summariesEvery       = 7
 )
 
-// mentionsMost is the number of serving and lost members that one beat tells of, mentionsOfStandby that of others, which
-// matter only when everyone who serves is lost at once.
+// maxSummaries is the maximum number of serving members in one heartbeat, and of members to promote; lost members get what is left of it.
+// maxStandbySummaries is the maximum number of all other members, which matter only when all serving instances are lost at once.
 const (
-	mentionsMost      = 6
-	mentionsOfStandby = 2
+	maxSummaries        = 6
+	maxStandbySummaries = 2
 )
 
-// State is what an instance is to its fleet.
+// State is the role of an instance in its fleet.
 type State uint8
 
 // The states of an instance.
 const (
-	// Joining instances listen; they serve nobody yet.
+	// Joining instances collect members after their start; they do not serve yet.
 	Joining State = iota
-	// Standby instances answer who serves, and take over.
+	// Standby instances name the serving instances to callers, and take over from lost ones.
 	Standby
-	// Serving instances are named to callers.
+	// Serving instances are the ones whose addresses callers are given.
 	Serving
-	// Leaving instances finish what they have.
+	// Leaving instances finish their requests before they stop.
 	Leaving
-	// Lost is said of others only.
+	// Lost is the state only of other instances: no heartbeat came from them within the timeout.
 	Lost
 )
 
-// String names the state.
+// String returns the name of the state.
 func (state State) String() string {
 	return [...]string{"joining", "standingBy", "serving", "leaving", "lost"}[min(int(state), int(Lost))]
 }
 
-// Incarnation tells one run of an instance from another.
+// Incarnation distinguishes the runs of an instance.
 type Incarnation uint64
 
-// Identity is what does not change while an instance runs.
+// Identity is the part of an instance's data that does not change while it runs.
 type Identity struct {
 	_          struct{} `cbor:",toarray"`
 	Name       settings.InstanceName
 	DataCentre settings.DataCentreName
-	// Peer is where other instances send datagrams, Caller where callers connect.
+	// Peer is the address for datagrams of other instances, Caller the address that callers connect to.
 	Peer   string
 	Caller string
-	// Size compares instances: a thousandth of a core is 1.
+	// Size is the processor capacity in thousandths of a core. Larger instances are preferred.
 	Size int
 }
 
-// Member is what is known of another instance.
+// Member is the known state of another instance.
 type Member struct {
 	Identity     Identity
 	Address      netip.AddrPort
@@ -139,22 +142,22 @@
 	Version      catalog.Version
 	CatalogFresh bool
 	Promoted     []settings.InstanceName
-	// heard is when it last spoke itself, known when it was first heard of.
-	heard, known clock.Moment
-	next         clock.Moment
-	// spoke is when it last sent something else than a beat.
-	spoke clock.Moment
-	// sent is when it was last sent a beat, owed whether it is to get one although nothing else calls for that, replied whether the last one
-	// was sent for that alone.
-	sent          clock.Moment
-	owed, replied bool
-	// askedFrom is since when it is asked because nobody is known to serve, 0 when it is not.
-	askedFrom clock.Moment
-	// unreachable is when it last did not answer a call, 0 when it always did.
-	unreachable clock.Moment
+	// lastSeen is when the last heartbeat came from the member itself, discovered when it became known.
+	lastSeen, discovered clock.Moment
+	nextHeartbeat        clock.Moment
+	// lastOtherMessage is when the last message other than a heartbeat came from the member.
+	lastOtherMessage clock.Moment
+	// lastSent is when the last heartbeat was sent to the member. replyDue is whether it is owed a heartbeat outside the schedule,
+	// lastWasReply whether the last one was sent only for that reason.
+	lastSent               clock.Moment
+	replyDue, lastWasReply bool
+	// queriedSince is since when the member has been queried because no serving instance is known, 0 when it is not queried.
+	queriedSince clock.Moment
+	// unreachableAt is when the member last failed to answer a request, 0 when it never failed.
+	unreachableAt clock.Moment
 }
 
-// Options are what Members are made from.
+// Options configure Members.
 type Options struct {
 	Self        Identity
 	Incarnation Incarnation
@@ -162,7 +165,7 @@
 	Clock       *clock.Clock
 }
 
-// Members is the fleet as one instance sees it. It belongs to one goroutine.
+// Members is the view that one instance has of its fleet. It is not safe for concurrent use.
 type Members struct {
 	options  Options
 	state    State
@@ -173,62 +176,63 @@
 	fresh    bool
 	roster   roster
 	// self is this instance's own address, which is often among the seeds.
-	self     netip.AddrPort
-	seedNext map[netip.AddrPort]clock.Moment
-	// cursor is the member whose mention comes next.
-	cursor int
-	// stateFrom is since when the own state is what it is.
-	stateFrom clock.Moment
-	// metAt is when another instance first spoke, 0 before.
-	metAt clock.Moment
-	// asking says that nobody was known to serve when that was last looked at.
-	asking bool
-	// changed is when the view of the fleet last changed.
-	changed clock.Moment
-	// unneeded is since when this instance serves without being needed, 0 when it is.
-	unneeded clock.Moment
+	self              netip.AddrPort
+	nextSeedHeartbeat map[netip.AddrPort]clock.Moment
+	// summaryCursor increases with each heartbeat that contains summaries, and selects the members that it summarizes.
+	summaryCursor int
+	// stateSince is when this instance entered its state.
+	stateSince clock.Moment
+	// firstContact is when the first heartbeat of another instance came, 0 before.
+	firstContact clock.Moment
+	// querying is whether no serving instance was known when updateQueried last ran.
+	querying bool
+	// changedAt is when the view of the fleet last changed.
+	changedAt clock.Moment
+	// surplusSince is since when this instance serves without being needed, 0 when it is needed.
+	surplusSince clock.Moment
 }
 
 // New returns the view of an instance that knows only its seeds.
 func New(options Options) *Members {
-	// Settings were checked; an address that is none would only mean that this instance greets itself.
+	// The settings have been validated. With an invalid address, this instance would only send heartbeats to itself.
 	self, _ := netip.ParseAddrPort(options.Self.Peer)
 	return &Members{
 		options: options, self: self, started: options.Clock.Now(), roster: newRoster(),
-		seedNext: map[netip.AddrPort]clock.Moment{},
+		nextSeedHeartbeat: map[netip.AddrPort]clock.Moment{},
 	}
 }
 
-// State is this instance's own.
+// State returns this instance's own state.
 func (members *Members) State() State {
 	return members.state
 }
 
-// SetState changes this instance's own state; the next beats are due at once so that everyone learns of it.
+// SetState changes this instance's own state. Heartbeats to all members become due at once to announce the change.
 func (members *Members) SetState(state State) {
 	if members.state == state {
 		return
 	}
 	members.state = state
-	members.roster.changed()
-	members.stateFrom = members.options.Clock.Now()
-	members.changed = members.options.Clock.Now()
-	members.unneeded = 0
-	members.hurry()
+	members.roster.invalidate()
+	members.stateSince = members.options.Clock.Now()
+	members.changedAt = members.options.Clock.Now()
+	members.surplusSince = 0
+	members.expediteHeartbeats()
 }
 
-// SetCatalog notes what this instance knows of the catalog. A serving instance, or one that reads the store itself, tells everyone at
-// once of a new configuration, and when the store begins or ceases to answer it: others read the catalog from it. That only
-// servers have changed is told at once to those that serve; the others read it once a second at most, and a word to each of a
-// hundred for every change would be most of what an instance sends.
+// SetCatalog sets the revision and version of this instance's catalog; fresh is whether it reads the store itself and the store answers.
+// A new configuration at an instance that serves or reads the store, and a change of fresh, are announced to all members at once, since
+// others read the catalog from this instance. A change of only the backend servers is announced at once to serving instances alone: the
+// others read it once a second at most, and a heartbeat to each of a hundred instances for every change would make up most of the
+// traffic that this instance sends.
 func (members *Members) SetCatalog(revision catalog.Revision, version catalog.Version, fresh bool) {
-	tells := members.state == Serving || fresh
+	announces := members.state == Serving || fresh
 	switch {
-	case version != members.version && tells || fresh != members.fresh:
-		members.hurry()
-	case revision != members.revision && tells:
+	case version != members.version && announces || fresh != members.fresh:
+		members.expediteHeartbeats()
+	case revision != members.revision && announces:
 		for _, member := range members.roster.listServing() {
-			member.next = 0
+			member.nextHeartbeat = 0
 		}
 	}
 	members.revision = revision
@@ -241,8 +245,9 @@
 	members.options.Seeds = seeds
 }
 
-func (members *Members) hurry() {
+// expediteHeartbeats makes a heartbeat to each member due at once.
+func (members *Members) expediteHeartbeats() {
 	for _, member := range members.roster.all {
-		member.next = 0
+		member.nextHeartbeat = 0
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,40 +14,40 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// fleet is a number of instances in virtual time. Beats take a step and may be lost or cut off.
+// fleet simulates instances in virtual time. A heartbeat takes one step to arrive, and may be lost.
 type fleet struct {
 	clock     *clock.Manual
 	random    *rand.Rand
-	instances []*simulated
+	instances []*simulatedInstance
 	byAddress map[netip.AddrPort]int
 	loss      float64
-	// cut reports whether datagrams from one instance to another are lost.
-	cut  func(from, to int) bool
-	sent int
-	// underWay are the beats that arrive with the next step: if they arrived at once, no two could ever decide without
-	// knowing of each other.
-	underWay []delivery
+	// partitioned reports whether datagrams from one instance to another are lost.
+	partitioned func(from, to int) bool
+	sent        int
+	// inTransit are the heartbeats that arrive with the next step. If they arrived at once, no two instances could ever decide
+	// without knowing of each other.
+	inTransit []delivery
 }
 
 type delivery struct {
-	to   int
-	beat Heartbeat
+	to        int
+	heartbeat Heartbeat
 }
 
-type simulated struct {
+type simulatedInstance struct {
 	number  int
 	options Options
 	members *Members
 	address netip.AddrPort
 	startAt clock.Moment
-	dead    bool
+	stopped bool
 }
 
 const simulatedStep = 25 * clock.Millisecond
 
-// newFleet makes instances spread over data centres, of which the given ones are seeds. They start at random within 0.3 s.
+// newFleet returns instances spread over data centres, of which the given ones are seeds. They start at random times within 0.3 s.
 func newFleet(count, dataCentres int, seeds []int, size func(int) int) *fleet {
-	fleet := &fleet{clock: clock.NewManual(), random: rand.New(rand.NewPCG(uint64(count), 1)), cut: func(int, int) bool { return false }}
+	fleet := &fleet{clock: clock.NewManual(), random: rand.New(rand.NewPCG(uint64(count), 1)), partitioned: func(int, int) bool { return false }}
 	fleet.byAddress = map[netip.AddrPort]int{}
 	fleet.clock.Advance(clock.Second)
 	addresses := make([]netip.AddrPort, count)
@@ -64,27 +64,27 @@
 			options.Seeds = append(options.Seeds, addresses[seed])
 		}
 		fleet.byAddress[addresses[number]] = number
-		instance := &simulated{number: number, options: options, address: addresses[number]}
+		instance := &simulatedInstance{number: number, options: options, address: addresses[number]}
 		fleet.instances = append(fleet.instances, instance)
 		fleet.start(instance, clock.Milliseconds(fleet.random.Float64()*300))
 	}
 	return fleet
 }
 
-// start starts an instance anew after a while; it knows nothing of before.
-func (fleet *fleet) start(instance *simulated, after clock.Milliseconds) {
-	instance.dead = true
+// start restarts an instance after a delay, without any state.
+func (fleet *fleet) start(instance *simulatedInstance, after clock.Milliseconds) {
+	instance.stopped = true
 	instance.members = nil
 	instance.startAt = fleet.clock.Now().Add(after)
 }
 
-func (fleet *fleet) kill(instance *simulated) {
-	instance.dead = true
+func (fleet *fleet) kill(instance *simulatedInstance) {
+	instance.stopped = true
 	instance.members = nil
 	instance.startAt = clock.Moment(1e12)
 }
 
-// run lets time pass.
+// run advances the time step by step.
 func (fleet *fleet) run(length clock.Milliseconds) {
 	for end := fleet.clock.Now().Add(length); fleet.clock.Now() < end; fleet.clock.Advance(simulatedStep) {
 		fleet.deliver()
@@ -94,13 +94,13 @@
 	}
 }
 
-func (fleet *fleet) step(instance *simulated) {
-	if instance.dead && fleet.clock.Now() >= instance.startAt {
-		instance.dead = false
+func (fleet *fleet) step(instance *simulatedInstance) {
+	if instance.stopped && fleet.clock.Now() >= instance.startAt {
+		instance.stopped = false
 		instance.options.Incarnation = Incarnation(fleet.random.Uint64())
 		instance.members = New(instance.options)
 	}
-	if instance.dead {
+	if instance.stopped {
 		return
 	}
 	members := instance.members
@@ -113,51 +113,51 @@
 	}
 	members.SetCatalog(1, 1, members.State() == Serving)
 	for _, address := range members.DueHeartbeats() {
-		beat := members.NewHeartbeat(address)
+		heartbeat := members.NewHeartbeat(address)
 		fleet.sent++
 		index, known := fleet.byAddress[address]
-		if !known || fleet.instances[index].dead || fleet.random.Float64() < fleet.loss || fleet.cut(instance.number, index) {
+		if !known || fleet.instances[index].stopped || fleet.random.Float64() < fleet.loss || fleet.partitioned(instance.number, index) {
 			continue
 		}
-		fleet.underWay = append(fleet.underWay, delivery{to: index, beat: beat})
+		fleet.inTransit = append(fleet.inTransit, delivery{to: index, heartbeat: heartbeat})
 	}
 }
 
-// deliver hands over what was sent in the step before.
+// deliver hands over the heartbeats that were sent in the step before.
 func (fleet *fleet) deliver() {
-	arriving := fleet.underWay
-	fleet.underWay = nil
+	arriving := fleet.inTransit
+	fleet.inTransit = nil
 	for _, delivery := range arriving {
-		if instance := fleet.instances[delivery.to]; !instance.dead {
-			instance.members.Receive(delivery.beat)
+		if instance := fleet.instances[delivery.to]; !instance.stopped {
+			instance.members.Receive(delivery.heartbeat)
 		}
 	}
 }
 
-// serving lists who serves, by their own word.
+// serving returns the instances whose own state is serving.
 func (fleet *fleet) serving() []int {
 	var serving []int
 	for _, instance := range fleet.instances {
-		if !instance.dead && instance.members.State() == Serving {
+		if !instance.stopped && instance.members.State() == Serving {
 			serving = append(serving, instance.number)
 		}
 	}
 	return serving
 }
 
-// named lists whom an instance names to callers.
-func (fleet *fleet) named(number int) []string {
-	var named []string
+// advertised returns the names of the instances that an instance gives to callers.
+func (fleet *fleet) advertised(number int) []string {
+	var names []string
 	for _, identity := range fleet.instances[number].members.Serving() {
-		named = append(named, string(identity.Name))
+		names = append(names, string(identity.Name))
 	}
-	return named
+	return names
 }
 
 func equalSize(int) int { return 320 }
 
-// A fleet starts all at once and knows nothing but its seeds. Until it has found itself callers are told of nobody, or of
-// too many.
+// Guards against a fleet that starts all at once with only its seeds known, and does not settle on the serving instances within 5 s:
+// until then callers are given no instance, or too many.
 func TestFleetFindsItself(t *testing.T) {
 	cases := []struct {
 		name               string
@@ -176,7 +176,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			// Some of a large fleet's instances are larger: they are ready to serve before those that stand by have heard of them all.
+			// Some instances of a large fleet are larger: they are ready to serve before the standby instances know them all.
 			size := func(number int) int {
 				if testCase.count > 40 && number%7 == 3 {
 					return 800
@@ -188,14 +188,14 @@
 			fleet.run(5 * clock.Second)
 			require.Len(t, fleet.serving(), testCase.serving)
 			for number := range fleet.instances {
-				require.Len(t, fleet.named(number), testCase.serving, "as instance %d sees it", number)
+				require.Len(t, fleet.advertised(number), testCase.serving, "in the view of instance %d", number)
 			}
 		})
 	}
 }
 
-// An instance that serves is killed. Callers that keep its address find nobody until they are told of another, and its
-// backend servers have no owner.
+// Guards against a killed serving instance that is not replaced. Callers that keep its address get no answer until they learn
+// another one, and its backend servers have no owner.
 func TestAnotherTakesOver(t *testing.T) {
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(5 * clock.Second)
@@ -206,20 +206,21 @@
 	require.Len(t, serving, 3)
 	require.NotContains(t, serving, victim)
 	for number, instance := range fleet.instances {
-		if instance.dead {
+		if instance.stopped {
 			continue
 		}
-		require.NotContains(t, fleet.named(number), string(fleet.instances[victim].options.Self.Name))
+		require.NotContains(t, fleet.advertised(number), string(fleet.instances[victim].options.Self.Name))
 	}
 
-	// When it comes back, whoever took over stays: nobody has to move.
+	// The instance that took over goes on serving when the killed one returns.
 	fleet.start(fleet.instances[victim], 0)
 	fleet.run(6 * clock.Second)
 	require.Equal(t, serving, fleet.serving())
 }
 
-// All instances lose power, and the seeds come back last: everyone serves, knowing nobody else. Each then answers for every
-// backend server, probes them all and starts the cold ones. It has to be over soon after the seeds are there.
+// Guards against too many serving instances for long when a whole fleet restarts and the seeds return last. Each instance serves
+// without knowing others, answers for every backend server, probes all of them and starts the cold ones. This must end soon after
+// the seeds have returned.
 func TestSeedsComeBackLast(t *testing.T) {
 	fleet := newFleet(17, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(5 * clock.Second)
@@ -232,15 +233,15 @@
 	}
 	fleet.run(1700*clock.Millisecond + 700*clock.Millisecond)
 	for number := range fleet.instances {
-		require.Len(t, fleet.named(number), 3, "as instance %d sees it", number)
+		require.Len(t, fleet.advertised(number), 3, "in the view of instance %d", number)
 	}
 	fleet.run(3 * clock.Second)
 	require.Len(t, fleet.serving(), 3)
 }
 
-// The instances that all others look for when they start are the busiest then, and may be the last to be back after a loss of all power.
-// Were they also those that serve, callers would still hold just their addresses, and wait for them while others idle. Where there is no
-// other, a seed serves.
+// Guards against seeds that serve although others could. Seeds have the most work when instances start, and may be the last to
+// return after a power loss. If they also served, callers would hold only their addresses and wait for them while other instances
+// are idle. A seed serves where there is no other instance.
 func TestSeedsServeLast(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -250,8 +251,8 @@
 		serveSeeds int
 	}{
 		{"others in each data centre", 17, []int{0, 1, 2}, 0},
-		{"a data centre with nothing but its seed", 5, []int{0, 1, 2}, 1},
-		{"nothing but seeds", 3, []int{0, 1, 2}, 3},
+		{"a data centre with only its seed", 5, []int{0, 1, 2}, 1},
+		{"only seeds", 3, []int{0, 1, 2}, 3},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -265,7 +266,8 @@
 	}
 }
 
-// Most of the fleet dies at once, all that serve among them. Those left know who else there was only by hearsay.
+// Guards against a fleet that does not recover when most of it fails at once, all serving instances included. The remaining ones
+// know the others only from indirect reports.
 func TestMostDieAtOnce(t *testing.T) {
 	fleet := newFleet(17, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(8 * clock.Second)
@@ -279,7 +281,7 @@
 	require.Len(t, fleet.serving(), 3)
 }
 
-// A small instance serves because it was there first. It must not carry the load once a larger one is there.
+// Guards against a small instance that carries the load after larger ones have joined, only because it served first.
 func TestLargerInstancesServe(t *testing.T) {
 	size := func(number int) int {
 		if number < 6 {
@@ -298,26 +300,26 @@
 	require.Len(t, fleet.serving(), 3)
 }
 
-// A serving instance hears the others but is not heard, as when packets pass one way only. The others replace it; when the
-// cut heals, one of the two stands by again.
+// Guards against a serving instance whose own datagrams are lost while it receives those of others. The others replace it; when the
+// loss ends, one of the two returns to standby.
 func TestOneWayCut(t *testing.T) {
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(5 * clock.Second)
-	mute := fleet.serving()[0]
-	fleet.cut = func(from, _ int) bool { return from == mute }
+	silent := fleet.serving()[0]
+	fleet.partitioned = func(from, _ int) bool { return from == silent }
 	fleet.run(2 * clock.Second)
 	require.Len(t, fleet.serving(), 4)
 	other := fleet.serving()[1]
-	if other == mute {
+	if other == silent {
 		other = fleet.serving()[2]
 	}
-	require.NotContains(t, fleet.named(other), string(fleet.instances[mute].options.Self.Name))
-	fleet.cut = func(int, int) bool { return false }
+	require.NotContains(t, fleet.advertised(other), string(fleet.instances[silent].options.Self.Name))
+	fleet.partitioned = func(int, int) bool { return false }
 	fleet.run(5 * clock.Second)
 	require.Len(t, fleet.serving(), 3)
 }
 
-// What an instance sends must not grow with those that stand by: at 60 instances one that stands by sends no more than
+// Guards against traffic that grows with the number of standby instances: at 60 instances a standby instance sends about as much as
 // at 30.
 func TestStandbyCostIsFlat(t *testing.T) {
 	perStandby := func(count int) float64 {
@@ -330,18 +332,19 @@
 	}
 	small := perStandby(30)
 	large := perStandby(60)
-	t.Logf("datagrams a second for each instance that stands by: %.1f at 30, %.1f at 60", small, large)
+	t.Logf("datagrams a second for each standby instance: %.1f at 30, %.1f at 60", small, large)
 	require.Less(t, large, 1.3*small)
 }
 
-// All instances are restarted within a moment, the seeds among them. Those that decide before they know who else is coming back
-// all begin to serve, and for seconds each knows only a part of what is in flight on the servers: callers' requests pile up there.
+// Guards against too many serving instances after a whole fleet, seeds included, restarts within a moment. Instances that decide
+// before they know which others return all begin to serve. For seconds each knows only some of the requests in flight on the backend
+// servers, and requests of callers queue up there.
 func TestFewServeAfterAllWereRestarted(t *testing.T) {
 	cases := []struct {
 		name               string
 		count, dataCentres int
 		size               func(int) int
-		most               int
+		maxServing         int
 	}{
 		{"13 in 3", 13, 3, equalSize, 4},
 		{"100 in 4", 100, 4, equalSize, 6},
@@ -359,21 +362,22 @@
 			for _, instance := range fleet.instances {
 				fleet.start(instance, clock.Milliseconds(fleet.random.Float64()*50))
 			}
-			ever := map[int]bool{}
+			everServed := map[int]bool{}
 			for range 40 {
 				fleet.run(50 * clock.Millisecond)
 				for _, number := range fleet.serving() {
-					ever[number] = true
+					everServed[number] = true
 				}
 			}
 			require.GreaterOrEqual(t, len(fleet.serving()), 3)
-			require.LessOrEqual(t, len(ever), testCase.most, "%v", ever)
+			require.LessOrEqual(t, len(everServed), testCase.maxServing, "%v", everServed)
 		})
 	}
 }
 
-// Servers come and go several times a second when a service is released. If a serving instance told a hundred others of each
-// change at once, words would be most of what it sends; but a new configuration must be in force everywhere in time.
+// Guards against a heartbeat to every instance for each change of backend servers, which come and go several times a second during
+// the release of a service: with a hundred instances these heartbeats would be most of what a serving instance sends. A new
+// configuration must still be announced to all at once.
 func TestOnlyConfigurationsAreToldToAllAtOnce(t *testing.T) {
 	cases := []struct {
 		name             string
@@ -388,12 +392,12 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			fleet := newFleet(100, 3, []int{0, 1, 2}, equalSize)
 			fleet.run(8 * clock.Second)
-			teller := fleet.instances[fleet.serving()[0]]
-			teller.members.SetCatalog(1, 1, true)
+			publisher := fleet.instances[fleet.serving()[0]]
+			publisher.members.SetCatalog(1, 1, true)
 			fleet.clock.Advance(2 * clock.Second)
-			teller.members.DueHeartbeats()
-			teller.members.SetCatalog(testCase.revision, testCase.version, true)
-			due := teller.members.DueHeartbeats()
+			publisher.members.DueHeartbeats()
+			publisher.members.SetCatalog(testCase.revision, testCase.version, true)
+			due := publisher.members.DueHeartbeats()
 			serving := 0
 			for _, address := range due {
 				if slices.Contains(fleet.serving(), fleet.byAddress[address]) {
@@ -406,46 +410,47 @@
 	}
 }
 
-// An instance is cut off from all others, or has just started and is. It must not take the little that it sees for the whole fleet:
-// whatever is shared by all would be used by each part in full.
-func TestSightOfTheFleet(t *testing.T) {
+// Guards against an instance that is cut off, or has just started cut off, and takes the few instances that it sees for the whole
+// fleet: each part of the fleet would then use shared limits in full.
+func TestVisibleFractionOfTheFleet(t *testing.T) {
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(8 * clock.Second)
 	one := fleet.instances[5]
 	require.InDelta(t, 1, one.members.VisibleFraction(), 0.01)
-	fleet.cut = func(from, to int) bool { return from == 5 || to == 5 }
+	fleet.partitioned = func(from, to int) bool { return from == 5 || to == 5 }
 	fleet.run(5 * clock.Second)
 	require.Less(t, one.members.VisibleFraction(), 0.1)
 	fleet.run(2 * clock.Minute)
-	require.Less(t, one.members.VisibleFraction(), 0.1, "others that are out of sight for long were forgotten")
+	require.Less(t, one.members.VisibleFraction(), 0.1, "others that are not visible for long were removed")
 	fleet.start(one, 0)
 	fleet.run(clock.Second)
-	require.Zero(t, one.members.VisibleFraction(), "no seed was heard")
-	fleet.run(forgetAfter)
+	require.Zero(t, one.members.VisibleFraction(), "no seed is visible")
+	fleet.run(removeLostAfter)
 	require.InDelta(t, 0.25, one.members.VisibleFraction(), 0.01, "three seeds and itself")
-	fleet.cut = func(int, int) bool { return false }
+	fleet.partitioned = func(int, int) bool { return false }
 	fleet.run(10 * clock.Second)
 	require.InDelta(t, 1, one.members.VisibleFraction(), 0.01)
 }
 
-// A serving instance and one that stands by were cut off and are back. Serving instances hear the latter once a second, each at another time; one
-// that believed another's old word that it is lost would pass that word on, and it would be lost and found again for ever.
+// Guards against indirect reports of a loss that keep circulating. A serving and a standby instance were cut off and have returned.
+// Serving instances receive heartbeats of the standby one once a second, each at another time. One that accepted an outdated report
+// of its loss would pass it on, and the instance would be lost and found over and over.
 func TestReturnedInstanceIsNotLostAgain(t *testing.T) {
-	for later := range 20 {
-		t.Run(fmt.Sprintf("%d steps later", later), func(t *testing.T) {
+	for delaySteps := range 20 {
+		t.Run(fmt.Sprintf("%d steps later", delaySteps), func(t *testing.T) {
 			fleet := newFleet(13, 2, []int{0, 1, 2}, equalSize)
 			fleet.run(8 * clock.Second)
-			off := map[int]bool{}
-			fleet.cut = func(from, to int) bool { return off[from] || off[to] }
-			standby := slices.IndexFunc(fleet.instances, func(instance *simulated) bool { return instance.members.State() == Standby })
+			isolated := map[int]bool{}
+			fleet.partitioned = func(from, to int) bool { return isolated[from] || isolated[to] }
+			standby := slices.IndexFunc(fleet.instances, func(instance *simulatedInstance) bool { return instance.members.State() == Standby })
 			serving := fleet.serving()[0]
-			off[serving] = true
+			isolated[serving] = true
 			fleet.run(clock.Second)
-			off[standby] = true
+			isolated[standby] = true
 			fleet.run(1900 * clock.Millisecond)
-			off[serving] = false
-			fleet.run(clock.Second + clock.Milliseconds(2*later)*simulatedStep)
-			off[standby] = false
+			isolated[serving] = false
+			fleet.run(clock.Second + clock.Milliseconds(2*delaySteps)*simulatedStep)
+			isolated[standby] = false
 			fleet.run(6 * clock.Second)
 			for range 80 {
 				fleet.run(simulatedStep)
@@ -457,7 +462,8 @@
 	}
 }
 
-// Guards against a start in which each instance speaks to all others, so that datagrams grow with the square of the fleet.
+// Guards against a start in which each instance contacts all others, so that the number of datagrams grows with the square of the
+// fleet.
 func TestStartCostIsFlat(t *testing.T) {
 	perInstance := func(count int) float64 {
 		fleet := newFleet(count, 5, []int{0, 1, 2}, func(number int) int {
@@ -478,12 +484,13 @@
 	}
 }
 
-// Guards against hundreds that all serve after a loss of power because the seeds, which they find each other by, are back last.
+// Guards against hundreds of instances that all serve after a power loss because the seeds, through which they discover each other,
+// return last.
 func TestFewServeWhileSeedsAreMissing(t *testing.T) {
 	cases := []struct {
 		name               string
 		count, dataCentres int
-		most               int
+		maxServing         int
 	}{
 		{"17 in 3", 17, 3, 6},
 		{"100 in 4", 100, 4, 8},
@@ -505,21 +512,22 @@
 				}
 				fleet.start(instance, after)
 			}
-			ever := map[int]bool{}
+			everServed := map[int]bool{}
 			for range 60 {
 				fleet.run(50 * clock.Millisecond)
 				for _, number := range fleet.serving() {
-					ever[number] = true
+					everServed[number] = true
 				}
 			}
 			require.Len(t, fleet.serving(), max(testCase.dataCentres, 3))
-			require.LessOrEqual(t, len(ever), testCase.most, "%v", ever)
+			require.LessOrEqual(t, len(everServed), testCase.maxServing, "%v", everServed)
 		})
 	}
 }
 
-// Guards against small instances that name themselves to callers after a loss of power, while those that come first are there.
-func TestThoseThatComeFirstAreNamedWhileNobodyServes(t *testing.T) {
+// Guards against small instances that give callers their own addresses after a power loss although higher-ranked instances are
+// there.
+func TestTopRankedAreNamedWhileLeaderless(t *testing.T) {
 	fleet := newFleet(60, 4, []int{0, 1, 2}, func(number int) int {
 		if number < 12 {
 			return 800
@@ -532,10 +540,10 @@
 	require.NotEmpty(t, small.CandidateAddresses())
 	require.NotContains(t, small.CandidateAddresses(), fleet.instances[40].options.Self.Caller)
 	alone := New(fleet.instances[40].options)
-	require.Equal(t, []string{fleet.instances[40].options.Self.Caller}, alone.CandidateAddresses(), "one that knows of nobody")
+	require.Equal(t, []string{fleet.instances[40].options.Self.Caller}, alone.CandidateAddresses(), "an instance that knows no other")
 }
 
-// Guards against instances that leave together and answer each other's beats without end.
+// Guards against instances that leave at the same time and answer each other's heartbeats without end.
 func TestLeavingTogetherCostsLittle(t *testing.T) {
 	fleet := newFleet(100, 4, []int{0, 1, 2}, equalSize)
 	fleet.run(8 * clock.Second)
--- a/internal/membership/promotion.go
+++ b/internal/membership/promotion.go
@@ -8,60 +8,60 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// calls returns the instances that should begin to serve. Serving ones know all that stand by; those don't know each other,
-// and several would take over from one that is lost.
-func (members *Members) calls() []settings.InstanceName {
-	if members.state != Serving || members.options.Clock.Now().Since(members.stateFrom) < callAfter {
+// promotions returns the standby instances that should begin to serve. Serving instances decide, since they know all standby
+// instances; standby instances do not know each other, and several would take over from one lost instance.
+func (members *Members) promotions() []settings.InstanceName {
+	if members.state != Serving || members.options.Clock.Now().Since(members.stateSince) < promoteAfter {
 		return nil
 	}
-	var called []settings.InstanceName
-	byDataCentre, places := members.candidates()
+	var promoted []settings.InstanceName
+	byDataCentre, perDataCentre := members.candidates()
 	for _, candidates := range byDataCentre {
-		for _, candidate := range candidates[:min(places, len(candidates))] {
+		for _, candidate := range candidates[:min(perDataCentre, len(candidates))] {
 			if !candidate.serving {
-				called = append(called, candidate.identity.Name)
+				promoted = append(promoted, candidate.identity.Name)
 			}
 		}
 	}
-	return called
+	return promoted
 }
 
-// called reports whether a serving instance has just called this one to serve. Calls that are old by now, or that rest on
-// less than is known here, are not followed.
-func (members *Members) called() bool {
+// promoted reports whether a serving instance has recently promoted this one. Promotions that are out of date, or that are based on
+// fewer serving instances than are known here, are ignored.
+func (members *Members) promoted() bool {
 	now := members.options.Clock.Now()
-	byDataCentre, places := members.candidates()
+	byDataCentre, perDataCentre := members.candidates()
 	serving := 0
 	for _, candidate := range byDataCentre[members.options.Self.DataCentre] {
 		if candidate.serving && candidate.identity.Size >= members.options.Self.Size {
 			serving++
 		}
 	}
-	return serving < places && slices.ContainsFunc(members.ServingPeers(), func(peer *Member) bool {
-		return now.Since(peer.heard) < callHolds && slices.Contains(peer.Promoted, members.options.Self.Name)
+	return serving < perDataCentre && slices.ContainsFunc(members.ServingPeers(), func(peer *Member) bool {
+		return now.Since(peer.lastSeen) < promotionValidFor && slices.Contains(peer.Promoted, members.options.Self.Name)
 	})
 }
 
-// ShouldServe reports whether this instance should serve. One that stands by is called by those that serve; where nobody does,
-// and for one that serves already, it has to be among the first of its data centre. Larger ones come before
-// smaller ones, which can't carry as much; of equal ones those that serve already come before the others, so that nobody
-// moves when an instance returns. Seeds come last: they have the most to do when many start, and what callers hold should not depend
-// on the same machines as what instances are found by.
+// ShouldServe reports whether this instance should serve. A standby instance waits for the promotion by a serving instance. If no
+// instance serves, or this one serves already, it must be among the first of its data centre by rank. Larger instances rank before
+// smaller ones, which cannot carry as much load. Among equal ones, serving instances rank first, so that no instance has to stop
+// serving when another returns. Seeds rank last: they have the most work when many instances start, and the addresses that callers
+// keep should not depend on the machines that instances are discovered through.
 func (members *Members) ShouldServe() bool {
 	if members.state == Leaving || members.state == Joining {
 		return false
 	}
 	now := members.options.Clock.Now()
-	starting := now.Since(members.started) < startsFor
+	starting := now.Since(members.started) < startupPeriod
 	switch {
 	case members.state == Standby && !members.Leaderless() && !starting:
-		return members.called()
-	case members.state == Standby && starting && members.hears(now):
+		return members.promoted()
+	case members.state == Standby && starting && members.discovering(now):
 		return false
 	}
-	byDataCentre, places := members.candidates()
+	byDataCentre, perDataCentre := members.candidates()
 	own := byDataCentre[members.options.Self.DataCentre]
-	for _, candidate := range own[:min(places, len(own))] {
+	for _, candidate := range own[:min(perDataCentre, len(own))] {
 		if candidate.identity.Name == members.options.Self.Name {
 			return true
 		}
@@ -69,35 +69,35 @@
 	return false
 }
 
-// TopRanked reports whether this instance comes first in its data centre, or is the next to.
+// TopRanked reports whether this instance is among the first of its data centre by rank, spare candidates included.
 func (members *Members) TopRanked() bool {
-	byDataCentre, places := members.candidates()
+	byDataCentre, perDataCentre := members.candidates()
 	own := byDataCentre[members.options.Self.DataCentre]
-	return slices.ContainsFunc(own[:min(places+leadingSpare, len(own))], func(candidate ranked) bool { return candidate.member == nil })
+	return slices.ContainsFunc(own[:min(perDataCentre+spareCandidates, len(own))], func(candidate rankedInstance) bool { return candidate.member == nil })
 }
 
-// hears reports whether this instance, which has just started, has yet to hear of those that come before it.
-func (members *Members) hears(now clock.Moment) bool {
-	if members.metAt > 0 {
-		return now.Since(members.metAt) < hearsFor
+// discovering reports whether this instance, which has just started, may not yet know the higher-ranked instances.
+func (members *Members) discovering(now clock.Moment) bool {
+	if members.firstContact > 0 {
+		return now.Since(members.firstContact) < discoveryPeriod
 	}
-	return members.seeks() && now.Since(members.started) < meetsWithin
+	return members.hasOtherSeeds() && now.Since(members.started) < firstContactTimeout
 }
 
-// seeks reports whether there are other instances to look for.
-func (members *Members) seeks() bool {
+// hasOtherSeeds reports whether a seed other than this instance is configured.
+func (members *Members) hasOtherSeeds() bool {
 	return slices.ContainsFunc(members.options.Seeds, func(seed netip.AddrPort) bool { return seed != members.self })
 }
 
-// ShouldStopServing reports whether this instance has served for a while without being needed.
+// ShouldStopServing reports whether this instance has been surplus for demoteAfter while it served.
 func (members *Members) ShouldStopServing() bool {
 	now := members.options.Clock.Now()
 	if members.state != Serving || members.ShouldServe() {
-		members.unneeded = 0
+		members.surplusSince = 0
 		return false
 	}
-	if members.unneeded == 0 {
-		members.unneeded = now
+	if members.surplusSince == 0 {
+		members.surplusSince = now
 	}
-	return now.Since(members.unneeded) >= demoteAfter
+	return now.Since(members.surplusSince) >= demoteAfter
 }
--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -8,14 +8,14 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Serving returns the instances that callers are to use and that answer for backend servers, by name: of those that
-// serve, as many in each data centre as are needed. After all were restarted at once more may serve for a while; nobody has
-// to wait until they have stopped.
+// Serving returns the instances that callers should use and that own backend servers, by name: as many of the serving instances of
+// each data centre as are needed. After a restart of the whole fleet more may serve for a while; the surplus is left out before it
+// has stopped serving.
 func (members *Members) Serving() []Identity {
-	byDataCentre, places := members.candidates()
+	byDataCentre, perDataCentre := members.candidates()
 	var serving []Identity
 	for _, candidates := range byDataCentre {
-		for _, candidate := range candidates[:min(places, len(candidates))] {
+		for _, candidate := range candidates[:min(perDataCentre, len(candidates))] {
 			if candidate.serving {
 				serving = append(serving, candidate.identity)
 			}
@@ -25,50 +25,51 @@
 	return serving
 }
 
-// ranked is an instance that could serve.
-type ranked struct {
+// rankedInstance is an instance that could serve.
+type rankedInstance struct {
 	identity      Identity
 	serving, seed bool
 	// member is nil for this instance itself.
 	member *Member
 }
 
-// ranking is who serves or could, by data centre and in the order in which they should, and the number that is needed in
-// each.
+// ranking is the instances of each data centre that serve or could serve, in the order in which they should.
 type ranking struct {
-	byDataCentre map[settings.DataCentreName][]ranked
-	places       int
-	// leading are the members that come first in their data centre, some more than are needed; due are those that should serve and don't.
-	leading, due map[*Member]bool
+	byDataCentre map[settings.DataCentreName][]rankedInstance
+	// perDataCentre is the number of instances that should serve in each data centre.
+	perDataCentre int
+	// topRanked are the first members of each data centre, spare candidates included. toPromote are the members that should serve
+	// and do not.
+	topRanked, toPromote map[*Member]bool
 }
 
-// leadingSpare is the number of members in each data centre that count as leading beyond those that are needed: the first may just
-// have died.
-const leadingSpare = 1
+// spareCandidates is the number of top-ranked members in each data centre beyond those that are needed: the first may just have
+// failed.
+const spareCandidates = 1
 
-// candidates returns the ranking of this instance and all others that live.
-func (members *Members) candidates() (map[settings.DataCentreName][]ranked, int) {
-	ranking := members.roster.ranked(members)
-	return ranking.byDataCentre, ranking.places
+// candidates returns this instance and all others that are alive, ranked by data centre, and the number that should serve in each.
+func (members *Members) candidates() (map[settings.DataCentreName][]rankedInstance, int) {
+	ranking := members.roster.currentRanking(members)
+	return ranking.byDataCentre, ranking.perDataCentre
 }
 
 func (members *Members) rank() *ranking {
-	byDataCentre := map[settings.DataCentreName][]ranked{}
-	add := func(candidate ranked) {
+	byDataCentre := map[settings.DataCentreName][]rankedInstance{}
+	add := func(candidate rankedInstance) {
 		byDataCentre[candidate.identity.DataCentre] = append(byDataCentre[candidate.identity.DataCentre], candidate)
 	}
 	if members.state != Leaving {
-		add(ranked{identity: members.options.Self, serving: members.state == Serving, seed: members.isSeed(members.self)})
+		add(rankedInstance{identity: members.options.Self, serving: members.state == Serving, seed: members.isSeed(members.self)})
 	}
-	for _, member := range members.roster.listLiving() {
-		// One that is joining stands by within a moment. If it were left out, all that were restarted together would find
-		// themselves first, since they cease to join at the same time.
+	for _, member := range members.roster.listAlive() {
+		// Joining members count, as they go to standby within a moment. Otherwise all instances that restart together would each
+		// rank themselves first, since they finish joining at the same time.
 		if member.State != Leaving {
-			add(ranked{identity: member.Identity, serving: member.State == Serving, seed: members.isSeed(member.Address), member: member})
+			add(rankedInstance{identity: member.Identity, serving: member.State == Serving, seed: members.isSeed(member.Address), member: member})
 		}
 	}
 	for _, candidates := range byDataCentre {
-		slices.SortFunc(candidates, func(left, right ranked) int {
+		slices.SortFunc(candidates, func(left, right rankedInstance) int {
 			return cmp.Or(
 				right.identity.Size-left.identity.Size,
 				boolOrder(right.serving)-boolOrder(left.serving),
@@ -79,26 +80,26 @@
 	}
 	dataCentres := max(len(byDataCentre), 1)
 	ranking := &ranking{
-		byDataCentre: byDataCentre, places: (servingLeast + dataCentres - 1) / dataCentres, leading: map[*Member]bool{}, due: map[*Member]bool{},
+		byDataCentre: byDataCentre, perDataCentre: (minServing + dataCentres - 1) / dataCentres, topRanked: map[*Member]bool{}, toPromote: map[*Member]bool{},
 	}
 	for _, candidates := range byDataCentre {
-		ranking.note(candidates)
+		ranking.classify(candidates)
 	}
 	return ranking
 }
 
-// note notes which of a data centre's candidates are leading, and which should serve and don't.
-func (ranking *ranking) note(candidates []ranked) {
-	for place, candidate := range candidates[:min(ranking.places+leadingSpare, len(candidates))] {
+// classify records which candidates of a data centre are top-ranked, and which of them to promote.
+func (ranking *ranking) classify(candidates []rankedInstance) {
+	for position, candidate := range candidates[:min(ranking.perDataCentre+spareCandidates, len(candidates))] {
 		if candidate.member == nil {
 			continue
 		}
-		ranking.leading[candidate.member] = true
-		ranking.due[candidate.member] = place < ranking.places && !candidate.serving
+		ranking.topRanked[candidate.member] = true
+		ranking.toPromote[candidate.member] = position < ranking.perDataCentre && !candidate.serving
 	}
 }
 
-// isSeed reports whether others look for the instance at the address when they start.
+// isSeed reports whether the address is one of the seeds, through which starting instances discover the others.
 func (members *Members) isSeed(address netip.AddrPort) bool {
 	return slices.Contains(members.options.Seeds, address)
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,105 +7,109 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Receive takes another instance's beat. It reports whether anything changed that others should hear of.
-func (members *Members) Receive(beat Heartbeat) bool {
-	if beat.Identity.Name == members.options.Self.Name {
+// Receive records another instance's heartbeat. It reports whether the view of the fleet changed in a way that others should learn
+// of. Heartbeats that are out of order or repeated are ignored.
+func (members *Members) Receive(heartbeat Heartbeat) bool {
+	if heartbeat.Identity.Name == members.options.Self.Name {
 		return false
 	}
-	address, err := netip.ParseAddrPort(beat.Identity.Peer)
+	address, err := netip.ParseAddrPort(heartbeat.Identity.Peer)
 	if err != nil {
 		return false
 	}
 	now := members.options.Clock.Now()
-	member, known := members.roster.byName[beat.Identity.Name]
-	if known && member.Incarnation == beat.Incarnation && beat.Sequence <= member.Sequence {
+	member, known := members.roster.byName[heartbeat.Identity.Name]
+	if known && member.Incarnation == heartbeat.Incarnation && heartbeat.Sequence <= member.Sequence {
 		return false
 	}
 	if !known {
-		member = &Member{known: now, Identity: beat.Identity, Address: address}
-		members.roster.add(beat.Identity.Name, member)
+		member = &Member{discovered: now, Identity: heartbeat.Identity, Address: address}
+		members.roster.add(heartbeat.Identity.Name, member)
 	}
-	changed := !known || member.State != beat.State || member.Incarnation != beat.Incarnation
-	members.roster.move(member, address)
-	member.take(beat)
-	member.heard = now
-	member.owed = member.owed || members.owes(beat)
-	members.metAt = cmp.Or(members.metAt, now)
+	changed := !known || member.State != heartbeat.State || member.Incarnation != heartbeat.Incarnation
+	members.roster.changeAddress(member, address)
+	member.update(heartbeat)
+	member.lastSeen = now
+	member.replyDue = member.replyDue || members.needsReply(heartbeat)
+	members.firstContact = cmp.Or(members.firstContact, now)
 	if changed {
-		members.roster.changed()
-		// It now expects to hear from here more often than before: without a word it would take this instance for lost.
-		member.next = 0
+		members.roster.invalidate()
+		// The member now expects heartbeats from this instance more often than before, and would count it as lost without one.
+		member.nextHeartbeat = 0
 	}
-	for _, mention := range beat.Summaries {
-		changed = members.hearOf(now, beat.State, mention) || changed
+	for _, summary := range heartbeat.Summaries {
+		changed = members.receiveSummary(now, heartbeat.State, summary) || changed
 	}
 	if changed {
-		members.changed = now
+		members.changedAt = now
 	}
 	return changed
 }
 
-// owes reports whether a beat calls for a reply. Whoever speaks to one that leaves may hold it for one that stays, unless it leaves itself.
-func (members *Members) owes(beat Heartbeat) bool {
-	return beat.WantsReply || members.state == Leaving && beat.State != Leaving
+// needsReply reports whether a heartbeat requires a reply. An instance that is not leaving itself and still sends heartbeats to a
+// leaving one may not know that it leaves.
+func (members *Members) needsReply(heartbeat Heartbeat) bool {
+	return heartbeat.WantsReply || members.state == Leaving && heartbeat.State != Leaving
 }
 
-// take notes what a beat says of its sender.
-func (member *Member) take(beat Heartbeat) {
-	member.Identity = beat.Identity
-	member.State = beat.State
-	member.Incarnation = beat.Incarnation
-	member.Sequence = beat.Sequence
-	member.Revision = beat.Revision
-	member.Version = beat.Version
-	member.CatalogFresh = beat.CatalogFresh
-	member.Promoted = beat.Promoted
+// update sets the member's state from its heartbeat.
+func (member *Member) update(heartbeat Heartbeat) {
+	member.Identity = heartbeat.Identity
+	member.State = heartbeat.State
+	member.Incarnation = heartbeat.Incarnation
+	member.Sequence = heartbeat.Sequence
+	member.Revision = heartbeat.Revision
+	member.Version = heartbeat.Version
+	member.CatalogFresh = heartbeat.CatalogFresh
+	member.Promoted = heartbeat.Promoted
 }
 
-// hearOf takes what another instance says of a third.
-func (members *Members) hearOf(now clock.Moment, teller State, mention MemberSummary) bool {
-	if mention.Identity.Name == members.options.Self.Name {
+// receiveSummary records what another instance reports of a third one.
+func (members *Members) receiveSummary(now clock.Moment, reporterState State, summary MemberSummary) bool {
+	if summary.Identity.Name == members.options.Self.Name {
 		return false
 	}
-	address, err := netip.ParseAddrPort(mention.Identity.Peer)
+	address, err := netip.ParseAddrPort(summary.Identity.Peer)
 	if err != nil {
 		return false
 	}
-	member, known := members.roster.byName[mention.Identity.Name]
+	member, known := members.roster.byName[summary.Identity.Name]
 	switch {
-	case !known && mention.State == Lost:
+	case !known && summary.State == Lost:
 		return false
 	case !known:
-		// Hearsay makes it known and asked; it counts as alive once it has spoken, or for a while if it is said to serve.
-		members.roster.add(mention.Identity.Name, &Member{
-			Identity: mention.Identity, Address: address, State: mention.State, known: now, heard: members.creditFor(now, mention.State),
+		// An indirect report makes the member known and queried. It counts as alive for a limited time until its own heartbeat comes,
+		// for longer if it is reported to serve.
+		members.roster.add(summary.Identity.Name, &Member{
+			Identity: summary.Identity, Address: address, State: summary.State, discovered: now, lastSeen: members.initialLastSeen(now, summary.State),
 		})
 		return true
-	case mention.State == Lost && teller == Serving && member.State != Lost && now.Since(member.heard) > members.hearsayAfter(member):
+	case summary.State == Lost && reporterState == Serving && member.State != Lost && now.Since(member.lastSeen) > members.indirectLossAfter(member):
 		member.State = Lost
-		members.roster.changed()
+		members.roster.invalidate()
 		return true
-	case mention.State == Serving && member.State != Serving:
-		// Hearsay may be old: a member that has just stopped serving would seem to serve again, and then to be lost since
-		// it speaks rarely. Asking it tells.
-		member.owed = true
+	case summary.State == Serving && member.State != Serving:
+		// An indirect report may be out of date: a member that has just stopped serving would seem to serve again, and then to be lost
+		// since its heartbeats are rare. A heartbeat to the member settles it.
+		member.replyDue = true
 	}
 	return false
 }
 
-// hearsayAfter is how long a member must be silent for another one's word to be taken that it is lost. If it were less than the
-// time between two of its beats, that word would go round after its return: each that takes it passes it on.
-func (members *Members) hearsayAfter(member *Member) clock.Milliseconds {
+// indirectLossAfter returns the time without a heartbeat from a member after which an indirect report of its loss is accepted. If it
+// were less than the time between two of its heartbeats, such a report would keep circulating after the member's return: each
+// instance that accepts it passes it on.
+func (members *Members) indirectLossAfter(member *Member) clock.Milliseconds {
 	if member.State == Serving {
-		return directlyHeard
+		return servingRecency
 	}
-	return rarelyHeard
+	return standbyRecency
 }
 
-// creditFor is since when a member known by hearsay alone is taken to have been heard.
-func (members *Members) creditFor(now clock.Moment, state State) clock.Moment {
+// initialLastSeen returns the time at which a member known only from an indirect report is taken to have been seen.
+func (members *Members) initialLastSeen(now clock.Moment, state State) clock.Moment {
 	if state == Serving {
 		return now
 	}
-	return now.Add(-standbySilence / 2)
+	return now.Add(-standbyTimeout / 2)
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -8,17 +8,17 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// roster holds the other members, and the lists that are asked for many times a second and change rarely. They are made
-// again after a change only: worked out anew each time, they took 3 ms of processor time a second at each instance of a fleet of
-// 100 that stood by, and now take 0.04 (BenchmarkStandbySecond).
+// roster holds the other members, and lists that are read many times a second and change rarely. The lists are rebuilt only after a
+// change: when they were rebuilt for each read, they took 3 ms of processor time a second at each standby instance of a fleet of
+// 100, against 0.04 ms now (BenchmarkStandbySecond).
 type roster struct {
 	byName    map[settings.InstanceName]*Member
 	byAddress map[netip.AddrPort]*Member
 	// all is sorted by name.
 	all []*Member
-	// living, serving and ranking are nil when they are to be made again.
-	living, serving []*Member
-	ranking         *ranking
+	// alive, serving and ranking are nil when they must be rebuilt.
+	alive, serving []*Member
+	ranking        *ranking
 }
 
 func newRoster() roster {
@@ -30,34 +30,35 @@
 	roster.byName[name] = member
 	roster.byAddress[member.Address] = member
 	roster.all = slices.Insert(roster.all, position, member)
-	roster.changed()
+	roster.invalidate()
 }
 
-// move notes that a member speaks from another address than before.
-func (roster *roster) move(member *Member, address netip.AddrPort) {
+// changeAddress records that a member's heartbeats now come from another address.
+func (roster *roster) changeAddress(member *Member, address netip.AddrPort) {
 	if member.Address == address {
 		return
 	}
-	roster.leaveAddress(member)
+	roster.releaseAddress(member)
 	member.Address = address
 	roster.byAddress[address] = member
 }
 
-// leaveAddress must be called before a member goes. An instance that takes another one's place may have its address by then.
-func (roster *roster) leaveAddress(member *Member) {
+// releaseAddress must be called before a member is removed or changes its address. Another instance may have taken over the address
+// by then.
+func (roster *roster) releaseAddress(member *Member) {
 	if roster.byAddress[member.Address] == member {
 		delete(roster.byAddress, member.Address)
 	}
 }
 
-// at returns the member that speaks from the address.
-func (roster *roster) at(address netip.AddrPort) (*Member, bool) {
+// findByAddress returns the member whose heartbeats come from the address.
+func (roster *roster) findByAddress(address netip.AddrPort) (*Member, bool) {
 	member, known := roster.byAddress[address]
 	return member, known
 }
 
-// ranked returns the ranking of all that live.
-func (roster *roster) ranked(members *Members) *ranking {
+// currentRanking returns the ranking of all instances that are alive.
+func (roster *roster) currentRanking(members *Members) *ranking {
 	if roster.ranking == nil {
 		roster.ranking = members.rank()
 	}
@@ -66,11 +67,11 @@
 
 func (roster *roster) remove(name settings.InstanceName) {
 	if position, found := roster.find(name); found {
-		roster.leaveAddress(roster.all[position])
+		roster.releaseAddress(roster.all[position])
 		roster.all = slices.Delete(roster.all, position, position+1)
 	}
 	delete(roster.byName, name)
-	roster.changed()
+	roster.invalidate()
 }
 
 func (roster *roster) find(name settings.InstanceName) (int, bool) {
@@ -79,20 +80,20 @@
 	})
 }
 
-// changed must be called after a member's state or identity has changed.
-func (roster *roster) changed() {
-	roster.living, roster.serving, roster.ranking = nil, nil, nil
+// invalidate must be called after a member's state or identity has changed.
+func (roster *roster) invalidate() {
+	roster.alive, roster.serving, roster.ranking = nil, nil, nil
 }
 
-// listLiving returns the members that count as alive, by name. The list is not to be changed.
-func (roster *roster) listLiving() []*Member {
-	if roster.living == nil {
-		roster.living = filter(roster.all, func(member *Member) bool { return member.State != Lost })
+// listAlive returns the members that are alive, by name. Callers must not change the list.
+func (roster *roster) listAlive() []*Member {
+	if roster.alive == nil {
+		roster.alive = filter(roster.all, func(member *Member) bool { return member.State != Lost })
 	}
-	return roster.living
+	return roster.alive
 }
 
-// listServing returns the members that serve, by name. The list is not to be changed.
+// listServing returns the members that serve, by name. Callers must not change the list.
 func (roster *roster) listServing() []*Member {
 	if roster.serving == nil {
 		roster.serving = filter(roster.all, func(member *Member) bool { return member.State == Serving })
@@ -100,7 +101,7 @@
 	return roster.serving
 }
 
-// filter never returns nil, which stands for a list that is to be made again.
+// filter never returns nil, which means that a list must be rebuilt.
 func filter(members []*Member, wanted func(*Member) bool) []*Member {
 	kept := make([]*Member, 0, len(members))
 	for _, member := range members {
--- a/internal/membership/states.go
+++ b/internal/membership/states.go
@@ -7,97 +7,98 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// silence is how long a member may be silent before it counts as lost.
-func (members *Members) silence(member *Member) clock.Milliseconds {
+// silenceTimeout returns the time without a heartbeat after which a member counts as lost.
+func (members *Members) silenceTimeout(member *Member) clock.Milliseconds {
 	switch {
 	case members.state == Serving && member.State == Serving:
-		return servingSilence
-	case member.askedFrom > 0:
-		return askedSilence
+		return servingTimeout
+	case member.queriedSince > 0:
+		return queryTimeout
 	default:
-		return standbySilence
+		return standbyTimeout
 	}
 }
 
-// UpdateStates drops members that have fallen silent, and moves this instance on. It reports whether anything changed.
+// UpdateStates marks members as lost whose heartbeats have stopped, removes those lost for long, and moves this instance from
+// joining to standby when it is time. It reports whether a member or this instance changed its state.
 func (members *Members) UpdateStates() bool {
 	now := members.options.Clock.Now()
 	changed := false
-	members.noteAsked(now)
-	mayForget := members.VisibleFraction() >= sightToForget
-	var forgotten []settings.InstanceName
+	members.updateQueried(now)
+	mayRemove := members.VisibleFraction() >= minVisibleToRemove
+	var expired []settings.InstanceName
 	for _, member := range members.roster.all {
 		silent := members.silentFor(now, member)
 		switch {
-		case member.State == Joining && silent > 2*joinFor:
-			// It stands by since. Those that stand by don't hear each other, so this one would take it for lost for its silence.
+		case member.State == Joining && silent > 2*joinPeriod:
+			// The member is on standby by now. Standby instances send each other no heartbeats, so this one would otherwise count it as lost.
 			member.State = Standby
-			members.roster.changed()
-		case member.State == Lost && silent > forgetAfter && mayForget:
-			forgotten = append(forgotten, member.Identity.Name)
-		case member.State != Lost && silent > members.silence(member):
+			members.roster.invalidate()
+		case member.State == Lost && silent > removeLostAfter && mayRemove:
+			expired = append(expired, member.Identity.Name)
+		case member.State != Lost && silent > members.silenceTimeout(member):
 			member.State = Lost
-			members.roster.changed()
+			members.roster.invalidate()
 			changed = true
 		}
 	}
-	for _, name := range forgotten {
+	for _, name := range expired {
 		members.roster.remove(name)
 	}
-	if members.state == Joining && members.joined(now) {
+	if members.state == Joining && members.joinComplete(now) {
 		members.SetState(Standby)
 		changed = true
 	}
 	if changed {
-		members.changed = now
+		members.changedAt = now
 	}
 	if changed && members.state == Serving {
-		// Those that stand by hear it from here first.
-		members.hurry()
+		// Standby instances learn of the change from this instance.
+		members.expediteHeartbeats()
 	}
 	return changed
 }
 
-// noteAsked notes since when members are asked because nobody is known to serve.
-func (members *Members) noteAsked(now clock.Moment) {
+// updateQueried records since when members are queried because no serving instance is known.
+func (members *Members) updateQueried(now clock.Moment) {
 	leaderless := members.Leaderless()
-	if !leaderless && !members.asking {
+	if !leaderless && !members.querying {
 		return
 	}
-	members.asking = leaderless
+	members.querying = leaderless
 	for _, member := range members.roster.all {
 		switch {
-		case !leaderless || !members.asks(member):
-			member.askedFrom = 0
-		case member.askedFrom == 0:
-			member.askedFrom = now
+		case !leaderless || !members.isQueried(member):
+			member.queriedSince = 0
+		case member.queriedSince == 0:
+			member.queriedSince = now
 		}
 	}
 }
 
-// silentFor is how long a member has been silent although it should have spoken. Instances that stand by speak only to those among them
-// that they ask because nobody serves; while someone does, those say when one is lost. If they counted each other as lost for that
-// silence, each would hold itself for the next to serve, and all would take over at once.
+// silentFor returns how long a member has sent no heartbeat although it should have. Standby instances send heartbeats only to those
+// among them that they query because no instance serves; while one does, it reports losses among them. If standby instances counted
+// each other as lost for that silence, each would rank itself next to serve, and all would take over at once.
 func (members *Members) silentFor(now clock.Moment, member *Member) clock.Milliseconds {
-	silent := now.Since(member.heard)
+	silent := now.Since(member.lastSeen)
 	if members.state == Serving && member.State == Serving {
-		// Before this instance served, the other one spoke to it rarely.
-		return min(silent, now.Since(members.stateFrom))
+		// Before this instance served, the other one sent it heartbeats rarely.
+		return min(silent, now.Since(members.stateSince))
 	}
 	if members.state == Serving || member.State != Standby {
 		return silent
 	}
-	if member.askedFrom == 0 {
+	if member.queriedSince == 0 {
 		return 0
 	}
-	return min(silent, now.Since(member.askedFrom))
+	return min(silent, now.Since(member.queriedSince))
 }
 
-// joined reports whether this instance has listened long enough.
-func (members *Members) joined(now clock.Moment) bool {
-	if now.Since(members.started) >= joinFor {
+// joinComplete reports whether this instance has listened long enough to leave the joining state.
+func (members *Members) joinComplete(now clock.Moment) bool {
+	if now.Since(members.started) >= joinPeriod {
 		return true
 	}
-	return slices.ContainsFunc(members.roster.listLiving(), func(member *Member) bool { return member.State == Serving && member.heard > members.started }) &&
-		now.Since(members.started) >= joinFor/2
+	return slices.ContainsFunc(members.roster.listAlive(), func(member *Member) bool { return member.State == Serving && member.lastSeen > members.started }) &&
+		now.Since(members.started) >= joinPeriod/2
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,28 +7,30 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Alive returns the other instances that count as alive, by name. The list is not to be changed.
+// Alive returns the other instances that are not lost, by name. Callers must not change the list.
 func (members *Members) Alive() []*Member {
-	return members.roster.listLiving()
+	return members.roster.listAlive()
 }
 
-// SetUnreachable notes that the instance at the address did not answer a call.
+// SetUnreachable records that the instance at the address did not answer a request.
 func (members *Members) SetUnreachable(address netip.AddrPort) {
-	if member, known := members.roster.at(address); known {
-		member.unreachable = members.options.Clock.Now()
+	if member, known := members.roster.findByAddress(address); known {
+		member.unreachableAt = members.options.Clock.Now()
 	}
 }
 
-// Reachable returns the other instances that count as alive and have not just failed to answer a call, by name.
+// Reachable returns the other instances that are alive and have not recently failed to answer a request, by name.
 func (members *Members) Reachable() []*Member {
 	now := members.options.Clock.Now()
-	return filter(members.Alive(), func(member *Member) bool { return member.unreachable == 0 || now.Since(member.unreachable) >= avoidFor })
+	return filter(members.Alive(), func(member *Member) bool {
+		return member.unreachableAt == 0 || now.Since(member.unreachableAt) >= retryUnreachableAfter
+	})
 }
 
 // NewestConfiguredRevision returns the newest revision of any other instance that has a configuration, 0 if there is none.
 func (members *Members) NewestConfiguredRevision() catalog.Revision {
 	var newest catalog.Revision
-	for _, member := range members.roster.listLiving() {
+	for _, member := range members.roster.listAlive() {
 		if member.Version > 0 {
 			newest = max(newest, member.Revision)
 		}
@@ -36,77 +38,80 @@
 	return newest
 }
 
-// CandidateAddresses returns the callers' addresses of those that should serve next and have just spoken to this instance, as far as they
-// don't leave. Of the others it would not hear that they leave. It names itself if it is one of them, or knows of none.
+// CandidateAddresses returns the addresses for callers of the top-ranked instances whose heartbeats came recently and that are not
+// leaving. From other instances this one would not learn that they leave. Its own address is included if it is top-ranked, or if
+// there is no other.
 func (members *Members) CandidateAddresses() []string {
-	var present []string
+	var addresses []string
 	now := members.options.Clock.Now()
-	leading := members.roster.ranked(members).leading
-	for _, member := range members.roster.listLiving() {
-		spoke := member.Sequence > 0 && now.Since(member.heard) <= rarelyHeard
-		if spoke && member.State != Leaving && leading[member] {
-			present = append(present, member.Identity.Caller)
+	topRanked := members.roster.currentRanking(members).topRanked
+	for _, member := range members.roster.listAlive() {
+		recent := member.Sequence > 0 && now.Since(member.lastSeen) <= standbyRecency
+		if recent && member.State != Leaving && topRanked[member] {
+			addresses = append(addresses, member.Identity.Caller)
 		}
 	}
-	if members.state != Leaving && (len(present) == 0 || members.TopRanked()) {
-		present = append(present, members.options.Self.Caller)
+	if members.state != Leaving && (len(addresses) == 0 || members.TopRanked()) {
+		addresses = append(addresses, members.options.Self.Caller)
 	}
-	return present
+	return addresses
 }
 
-// ServingPeers returns the other instances that serve, by name. The list is not to be changed.
+// ServingPeers returns the other instances that serve, by name. Callers must not change the list.
 func (members *Members) ServingPeers() []*Member {
 	return members.roster.listServing()
 }
 
-// All returns every known member, by name. The list is not to be changed.
+// All returns every known member, by name. Callers must not change the list.
 func (members *Members) All() []*Member {
 	return members.roster.all
 }
 
-// Leaders is what those that serve tell of the catalog.
+// Leaders summarizes what the other serving instances report of their catalogs.
 type Leaders struct {
 	// NewestRevision is the newest revision that one of them has.
 	NewestRevision catalog.Revision
-	// LastSeen is when one of them was last heard, LastFresh when one whose view is fresh was; 0 when there is none.
+	// LastSeen is when the last heartbeat of any of them came, LastFresh when the last one of an instance came whose catalog is
+	// fresh; 0 when there is none.
 	LastSeen, LastFresh clock.Moment
 }
 
-// Leaders returns what the other instances that serve tell.
+// Leaders returns what the other serving instances report of their catalogs.
 func (members *Members) Leaders() Leaders {
 	var leaders Leaders
 	for _, peer := range members.ServingPeers() {
 		leaders.NewestRevision = max(leaders.NewestRevision, peer.Revision)
-		leaders.LastSeen = max(leaders.LastSeen, peer.heard)
+		leaders.LastSeen = max(leaders.LastSeen, peer.lastSeen)
 		if peer.CatalogFresh {
-			leaders.LastFresh = max(leaders.LastFresh, peer.heard)
+			leaders.LastFresh = max(leaders.LastFresh, peer.lastSeen)
 		}
 	}
 	return leaders
 }
 
-// RecordMessage notes that an instance that serves has sent something else than a beat.
+// RecordMessage records that a serving instance has sent a message other than a heartbeat.
 func (members *Members) RecordMessage(incarnation Incarnation) {
 	for _, peer := range members.ServingPeers() {
 		if peer.Incarnation == incarnation {
-			peer.spoke = members.options.Clock.Now()
+			peer.lastOtherMessage = members.options.Clock.Now()
 		}
 	}
 }
 
-// CountRecentServing returns how many of the instances that serve were heard within the given time, and how many serve, this one included in both.
+// CountRecentServing returns the number of serving instances from which a message came within the given time, and the number of all
+// serving instances, this one included in both.
 func (members *Members) CountRecentServing(within clock.Milliseconds) (int, int) {
 	now := members.options.Clock.Now()
-	heard := 1
+	recent := 1
 	for _, peer := range members.ServingPeers() {
-		if now.Since(max(peer.heard, peer.spoke)) <= within {
-			heard++
+		if now.Since(max(peer.lastSeen, peer.lastOtherMessage)) <= within {
+			recent++
 		}
 	}
-	return heard, len(members.ServingPeers()) + 1
+	return recent, len(members.ServingPeers()) + 1
 }
 
-// CatalogFresh reports whether this instance itself reads the catalog and is answered.
+// CatalogFresh reports whether this instance itself reads the store and the store answers.
 func (members *Members) CatalogFresh() bool {
 	return members.fresh
 }
--- a/internal/membership/visibility.go
+++ b/internal/membership/visibility.go
@@ -4,55 +4,57 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// VisibleFraction is the part of all instances known that have spoken as recently as they should, this one included. It falls before those that are
-// cut off count as lost, since each part of a fleet that falls apart goes by it at once. One that has started within the last minute may
-// know only the part of the fleet in which it is; it sees no larger part of the whole than of the seeds.
+// VisibleFraction returns the fraction of all known instances, from 0 to 1, that are visible: those from which heartbeats have come
+// as recently as expected, and this instance itself. It falls before instances that are cut off count as lost, since each part of a
+// partitioned fleet acts on it at once. An instance that started within the last minute may know only the part of the fleet that it
+// is in; its fraction is no larger than that of the visible seeds.
 func (members *Members) VisibleFraction() float64 {
 	now := members.options.Clock.Now()
-	seen := 1
+	visible := 1
 	for _, member := range members.roster.all {
-		if members.seen(now, member) {
-			seen++
+		if members.isVisible(now, member) {
+			visible++
 		}
 	}
-	seeds, seedsSeen := members.seedsSeen(now)
+	seeds, visibleSeeds := members.countVisibleSeeds(now)
 	known := len(members.roster.all) + 1
 	if seeds > 0 {
-		known += seeds - members.seedsMet()
+		known += seeds - members.countKnownSeeds()
 	}
-	sight := float64(seen) / float64(known)
-	if seeds > 0 && now.Since(members.started) < forgetAfter {
-		sight = min(sight, float64(seedsSeen)/float64(seeds))
+	fraction := float64(visible) / float64(known)
+	if seeds > 0 && now.Since(members.started) < removeLostAfter {
+		fraction = min(fraction, float64(visibleSeeds)/float64(seeds))
 	}
-	return sight
+	return fraction
 }
 
-// seen reports whether a member has spoken as recently as it should.
-func (members *Members) seen(now clock.Moment, member *Member) bool {
-	return member.State != Lost && members.silentFor(now, member) <= rarelyHeard
+// isVisible reports whether heartbeats have come from the member as recently as expected.
+func (members *Members) isVisible(now clock.Moment, member *Member) bool {
+	return member.State != Lost && members.silentFor(now, member) <= standbyRecency
 }
 
-// seedsSeen returns the number of seeds, and of those that are seen, this instance included; none when it is the only one.
-func (members *Members) seedsSeen(now clock.Moment) (int, int) {
-	if !members.seeks() {
+// countVisibleSeeds returns the number of seeds, and how many of them are visible, this instance included; 0 and 0 if there are no
+// other seeds.
+func (members *Members) countVisibleSeeds(now clock.Moment) (int, int) {
+	if !members.hasOtherSeeds() {
 		return 0, 0
 	}
-	seen := 0
+	visible := 0
 	for _, seed := range members.options.Seeds {
-		if member, met := members.roster.at(seed); seed == members.self || met && members.seen(now, member) {
-			seen++
+		if member, known := members.roster.findByAddress(seed); seed == members.self || known && members.isVisible(now, member) {
+			visible++
 		}
 	}
-	return len(members.options.Seeds), seen
+	return len(members.options.Seeds), visible
 }
 
-// seedsMet is the number of seeds that are known by name, this instance included.
-func (members *Members) seedsMet() int {
-	met := 0
+// countKnownSeeds returns the number of seeds that are known members, this instance included.
+func (members *Members) countKnownSeeds() int {
+	count := 0
 	for _, seed := range members.options.Seeds {
-		if _, known := members.roster.at(seed); known || seed == members.self {
-			met++
+		if _, known := members.roster.findByAddress(seed); known || seed == members.self {
+			count++
 		}
 	}
-	return met
+	return count
 }
