--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -8,46 +8,49 @@
 )
 
 const (
-	// startsMost is the number of instances among which the requests are divided that may exceed a limit: as many may serve without
-	// hearing of each other.
-	startsMost = 32
-	// overUsed and slackUsed are the parts of the excess allowed that every bucket has: a team of one request a second whose requests come
-	// by chance would be refused by a bucket that holds one. The rest is for the time in which instances have not heard of each other.
-	overUsed  = 0.05
-	slackUsed = 0.4
-	// atOnce is the part of a burst that may come at once.
-	atOnce = 0.5
-	// startsWith is the part of its burst with which a bucket starts: the rest may have been used before a whole fleet was restarted.
-	startsWith = 0.1
-	// leastWait and mostWait bound when a refused caller may return, waitSpread spreads returns as a part of that time.
-	leastWait  = 50 * clock.Millisecond
-	mostWait   = 2 * clock.Second
-	waitSpread = 1.0
-	// debtMost bounds how long a team is refused for what others reported.
-	debtMost = clock.Second
+	// maxIsolatedInstances is the number of instances among which the allowed excess is divided: this many may serve without
+	// receiving reports of each other.
+	maxIsolatedInstances = 32
+	// bucketOverShare and bucketSlackShare are the shares of the allowed excess (Bounds.Over and Bounds.Slack) that every bucket
+	// has. Without them, a team with a limit of one request a second and random arrivals would be refused by a bucket that holds
+	// one. The rest is for the time in which instances do not receive reports of each other.
+	bucketOverShare  = 0.05
+	bucketSlackShare = 0.4
+	// immediateBurstShare is the share of a burst that may be admitted at once.
+	immediateBurstShare = 0.5
+	// initialFill is the share of its burst that a bucket starts with: the rest may have been used before a restart of the whole
+	// fleet.
+	initialFill = 0.1
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller may retry. retryAfterJitter is the maximum random
+	// addition, as a share of that time.
+	minRetryAfter    = 50 * clock.Millisecond
+	maxRetryAfter    = 2 * clock.Second
+	retryAfterJitter = 1.0
+	// maxDebt is the longest time for which a team is refused because of requests that other instances reported.
+	maxDebt = clock.Second
 )
 
-// bucket is one team's.
+// bucket is the token bucket of one team.
 type bucket struct {
 	name        team.Name
 	key         TeamKey
-	made        clock.Moment
+	created     clock.Moment
 	limit       team.Team
 	rate, burst float64
-	// level is the number of requests that may be let in now, at the time filled. It is below 0 when too many were.
-	level  float64
-	filled clock.Moment
-	// total is the number of requests let in here, returned ones taken off.
+	// level is the number of requests that may be admitted at the time filledAt. It is below 0 when too many were admitted.
+	level    float64
+	filledAt clock.Moment
+	// total is the number of requests admitted here, without the returned ones.
 	total uint32
-	// heard is when another instance last reported requests.
-	heard clock.Moment
-	// reportUntil is until when the count is reported.
+	// lastRemote is when another instance last reported requests.
+	lastRemote clock.Moment
+	// reportUntil is the time until which the total is reported; reporting is whether the bucket is in Limiter.reporting.
 	reportUntil clock.Moment
-	reported    bool
+	reporting   bool
 	usage       Usage
 }
 
-// Usage is what operators are told of a team.
+// Usage is what is published for operators about a team.
 type Usage struct {
 	Team     team.Name `json:"team"`
 	Rate     float64   `json:"rate"`
@@ -60,60 +63,61 @@
 	Remote uint64 `json:"elsewhere"`
 }
 
-// setLimit has a bucket let in what the team may send within a window, and a part of what it may send beyond that. Only a part of a burst
-// comes at once. The rest comes over the window, so that a team at its limit goes on to get what it may send in each.
-func (ledger *Limiter) setLimit(bucket *bucket, limit *team.Team) {
-	window := float64(ledger.bounds.Window / clock.Second)
-	burst := atOnce * limit.Burst
-	bucket.rate = (ledger.within(limit) - burst) / window * (1 + overUsed*ledger.bounds.Over)
-	bucket.burst = burst + slackUsed*ledger.bounds.Slack
+// setLimit sizes a bucket for what the limit allows in a window, and for a share of the allowed excess. Only a share of a burst is
+// admitted at once; the rest comes over the window, so that a team at its limit gets the full allowance in each window.
+func (limiter *Limiter) setLimit(bucket *bucket, limit *team.Team) {
+	window := float64(limiter.bounds.Window / clock.Second)
+	burst := immediateBurstShare * limit.Burst
+	bucket.rate = (limiter.windowAllowance(limit) - burst) / window * (1 + bucketOverShare*limiter.bounds.Over)
+	bucket.burst = burst + bucketSlackShare*limiter.bounds.Slack
 }
 
-// within is the number of requests that a limit allows in a window.
-func (ledger *Limiter) within(limit *team.Team) float64 {
-	return limit.Rate*float64(ledger.bounds.Window/clock.Second) + limit.Burst
+// windowAllowance returns the number of requests that a limit allows in a window.
+func (limiter *Limiter) windowAllowance(limit *team.Team) float64 {
+	return limit.Rate*float64(limiter.bounds.Window/clock.Second) + limit.Burst
 }
 
-// spare is the part of the excess allowed that one instance may use which counts with nobody.
-func (ledger *Limiter) spare(bucket *bucket) float64 {
-	return max((ledger.bounds.Over*ledger.within(&bucket.limit)+ledger.bounds.Slack)/startsMost, 1)
+// isolatedAllowance returns the share of the allowed excess that one instance may use without receiving reports of any other.
+func (limiter *Limiter) isolatedAllowance(bucket *bucket) float64 {
+	return max((limiter.bounds.Over*limiter.windowAllowance(&bucket.limit)+limiter.bounds.Slack)/maxIsolatedInstances, 1)
 }
 
-// room is how much a bucket holds at most.
-func (ledger *Limiter) room(bucket *bucket) float64 {
-	return max(ledger.share*bucket.burst, min(ledger.spare(bucket), bucket.burst), 1)
+// capacity returns the maximum level of a bucket.
+func (limiter *Limiter) capacity(bucket *bucket) float64 {
+	return max(limiter.share*bucket.burst, min(limiter.isolatedAllowance(bucket), bucket.burst), 1)
 }
 
-// pace is how many requests a second come back into a bucket.
-func (ledger *Limiter) pace(bucket *bucket) float64 {
-	alone := ledger.spare(bucket) / float64(ledger.bounds.Window/clock.Second)
-	return max(ledger.share*bucket.rate, min(alone, bucket.rate))
+// refillRate returns the number of requests a second by which a bucket is refilled.
+func (limiter *Limiter) refillRate(bucket *bucket) float64 {
+	isolatedRate := limiter.isolatedAllowance(bucket) / float64(limiter.bounds.Window/clock.Second)
+	return max(limiter.share*bucket.rate, min(isolatedRate, bucket.rate))
 }
 
-// fill brings a bucket up to date.
-func (ledger *Limiter) fill(now clock.Moment, bucket *bucket) {
-	passed := max(now.Since(bucket.filled), 0)
-	bucket.filled = now
-	room := ledger.room(bucket)
-	if bucket.level >= room {
-		bucket.level = room
+// refill adds what has accrued since the bucket was last refilled.
+func (limiter *Limiter) refill(now clock.Moment, bucket *bucket) {
+	passed := max(now.Since(bucket.filledAt), 0)
+	bucket.filledAt = now
+	capacity := limiter.capacity(bucket)
+	if bucket.level >= capacity {
+		bucket.level = capacity
 		return
 	}
-	bucket.level = min(bucket.level+ledger.pace(bucket)*float64(passed/clock.Second), room)
+	bucket.level = min(bucket.level+limiter.refillRate(bucket)*float64(passed/clock.Second), capacity)
 }
 
-// leastLevel is the lowest level to which reports of others bring a bucket.
-func (bucket *bucket) leastLevel() float64 {
-	return -bucket.rate * float64(debtMost/clock.Second)
+// minLevel returns the lowest level that reports of other instances can bring a bucket to.
+func (bucket *bucket) minLevel() float64 {
+	return -bucket.rate * float64(maxDebt/clock.Second)
 }
 
-// wait is when room is expected for a caller that is refused now, spread by chance so that those refused together don't return together.
-func (ledger *Limiter) wait(bucket *bucket) clock.Milliseconds {
-	wait := clock.Milliseconds(max(1-bucket.level, 0)/ledger.pace(bucket)) * clock.Second
-	return min(max(wait, leastWait), mostWait) * clock.Milliseconds(1+waitSpread*ledger.random.Float64())
+// retryAfter returns the time after which a caller that is refused now can expect to be admitted. Jitter keeps callers that are
+// refused at the same time from retrying at the same time.
+func (limiter *Limiter) retryAfter(bucket *bucket) clock.Milliseconds {
+	wait := clock.Milliseconds(max(1-bucket.level, 0)/limiter.refillRate(bucket)) * clock.Second
+	return min(max(wait, minRetryAfter), maxRetryAfter) * clock.Milliseconds(1+retryAfterJitter*limiter.random.Float64())
 }
 
-// TeamKey stands for a team's name in datagrams.
+// TeamKey identifies a team in datagrams: it is a hash of the team's name.
 type TeamKey uint32
 
 func keyOf(name team.Name) TeamKey {
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -1,19 +1,20 @@
 // Package quota holds teams to their rate limits over a whole fleet without shared state. Each instance keeps a token bucket for every
-// team, which stands for the bucket of the whole fleet: it takes its own requests out, and those that other instances report to it.
+// team, which approximates the team's bucket for the whole fleet: the instance deducts its own requests, and those that other instances
+// report to it.
 //
-// Instances that do not hear each other can't count together. Each then uses the part of a limit that answers to the part of the fleet
-// that it sees, so that all parts together stay below what may be exceeded. A bucket starts with little in it: hundreds of instances that
-// are restarted at once would else let in a burst each.
+// Instances that receive no reports of each other cannot count together. Each then uses the share of a limit that corresponds to the
+// fraction of the fleet that is visible to it, so that all parts of a partitioned fleet together stay within the allowed excess. A bucket
+// starts nearly empty: otherwise hundreds of instances that restart together would admit a burst each.
 //
 // # Usage
 //
-//	ledger := quota.NewLedger(quota.Options{Clock: clock, Rand: random})
-//	ledger.SetTeams(configuration.Teams)
-//	ledger.SetShare(sight)
-//	if wait, taken := ledger.Take(name); !taken { ... }   // the caller may return after the wait
-//	ledger.Return(name)                                   // the request has not run
-//	reports := ledger.Reports(sender)                     // for the other instances
-//	ledger.Hear(report)                                   // what another one reported
+//	limiter := quota.NewLimiter(quota.Options{Clock: clock, Rand: random})
+//	limiter.SetTeams(configuration.Teams)
+//	limiter.SetFleetFraction(fraction)
+//	if retryAfter, admitted := limiter.Admit(name); !admitted { ... } // the caller may retry after that time
+//	limiter.Return(name)                                              // the request did not run
+//	reports := limiter.Reports(sender)                                // for the other instances
+//	limiter.Receive(report)                                           // from another instance
 package quota
 
 import (
@@ -25,23 +26,23 @@
 )
 
 const (
-	// overApart is the part of the excess allowed that two parts of a fleet use together which do not hear each other.
-	overApart = 0.3
-	// largePart is the part of a fleet from which on almost the whole limit may be used, largeShare what is used then. The smaller the
-	// other part is, the fewer callers it has.
-	largePart  = 0.65
-	largeShare = 0.95
+	// partitionedOverShare is the share of the allowed excess that two parts of a partitioned fleet use together.
+	partitionedOverShare = 0.3
+	// majorityFraction is the fraction of a fleet from which on almost the whole limit may be used, majorityShare the share that is
+	// used at that fraction. The smaller the other part of the fleet is, the fewer callers it has.
+	majorityFraction = 0.65
+	majorityShare    = 0.95
 )
 
-// Bounds are agreed with whoever sets the limits.
+// Bounds are how far a limit may be exceeded, as agreed with those who set the limits.
 type Bounds struct {
-	// Window is the span in which requests are counted.
+	// Window is the time over which requests are counted.
 	Window clock.Milliseconds
-	// Over is the part of a limit by which it may be exceeded, Slack the number of requests besides.
+	// Over is the fraction of a limit by which it may be exceeded, Slack the number of requests in addition to that.
 	Over, Slack float64
 }
 
-// Options are what a Ledger is made from.
+// Options configure a Limiter.
 type Options struct {
 	Clock *clock.Clock
 	Rand  *rand.Rand
@@ -54,185 +55,187 @@
 	mutex  sync.Mutex
 	random *rand.Rand
 	bounds Bounds
-	// share is the part of each limit that this instance may use.
+	// share is the share of each limit that this instance may use, from 0 to 1.
 	share   float64
 	buckets map[team.Name]*bucket
 	byKey   map[TeamKey]*bucket
-	// reporting are the buckets whose count is to be reported.
+	// reporting are the buckets whose totals are to be reported.
 	reporting []*bucket
-	// sequence numbers reports.
+	// sequence is the number of the last report.
 	sequence uint64
-	// heard are the counts that other instances reported last.
-	heard map[Sender]*heardCounts
-	// nextForget is when senders that fell silent are looked for.
-	nextForget clock.Moment
+	// senders are the totals that other instances reported last.
+	senders map[Sender]*senderCounts
+	// nextExpiry is when senders that stopped reporting are next removed.
+	nextExpiry clock.Moment
 }
 
-// NewLimiter returns a ledger without teams.
+// NewLimiter returns a limiter without teams.
 func NewLimiter(options Options) *Limiter {
 	return &Limiter{
 		clock: options.Clock, random: options.Rand, bounds: Bounds{Window: 5 * clock.Second},
-		buckets: map[team.Name]*bucket{}, byKey: map[TeamKey]*bucket{}, heard: map[Sender]*heardCounts{},
+		buckets: map[team.Name]*bucket{}, byKey: map[TeamKey]*bucket{}, senders: map[Sender]*senderCounts{},
 	}
 }
 
-// SetBounds changes by how much limits may be exceeded.
-func (ledger *Limiter) SetBounds(bounds Bounds) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	ledger.bounds = bounds
+// SetBounds sets how far limits may be exceeded.
+func (limiter *Limiter) SetBounds(bounds Bounds) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	limiter.bounds = bounds
 }
 
-// SetFleetFraction notes which part of the fleet this instance counts together with, from 0 to 1.
-func (ledger *Limiter) SetFleetFraction(seen float64) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	share := ledger.shareOf(seen)
-	if share == ledger.share {
+// SetFleetFraction sets the fraction of the fleet, from 0 to 1, that this instance exchanges reports with.
+func (limiter *Limiter) SetFleetFraction(fraction float64) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	share := limiter.shareFor(fraction)
+	if share == limiter.share {
 		return
 	}
-	now := ledger.clock.Now()
-	for _, bucket := range ledger.buckets {
-		ledger.fill(now, bucket)
+	now := limiter.clock.Now()
+	for _, bucket := range limiter.buckets {
+		limiter.refill(now, bucket)
 	}
-	ledger.share = share
+	limiter.share = share
 }
 
-// LimitChange is a limit that has changed, in requests a second and at once.
+// LimitChange is a change of a team's limit. Before and Rate are in requests a second, Burst is in requests at once.
 type LimitChange struct {
 	Team                team.Name
 	Before, Rate, Burst float64
 }
 
-// shareOf is the part of each limit that a part of the fleet may use. Two parts that make up the whole use no more together than the limit
-// and the part of the excess that is meant for that.
-func (ledger *Limiter) shareOf(seen float64) float64 {
-	together := 1 + overApart*ledger.bounds.Over
+// shareFor returns the share of each limit that a part of the fleet may use. Two parts that make up the whole fleet together use no
+// more than the limit and partitionedOverShare of the allowed excess.
+func (limiter *Limiter) shareFor(fraction float64) float64 {
+	combined := 1 + partitionedOverShare*limiter.bounds.Over
 	switch {
-	case seen >= largePart:
-		return largeShare + (1-largeShare)*(min(seen, 1)-largePart)/(1-largePart)
-	case seen >= 1-largePart:
-		small := together - largeShare
-		return small + (largeShare-small)*(seen-(1-largePart))/(2*largePart-1)
+	case fraction >= majorityFraction:
+		return majorityShare + (1-majorityShare)*(min(fraction, 1)-majorityFraction)/(1-majorityFraction)
+	case fraction >= 1-majorityFraction:
+		minorityShare := combined - majorityShare
+		return minorityShare + (majorityShare-minorityShare)*(fraction-(1-majorityFraction))/(2*majorityFraction-1)
 	default:
-		return (together - largeShare) * max(seen, 0) / (1 - largePart)
+		return (combined - majorityShare) * max(fraction, 0) / (1 - majorityFraction)
 	}
 }
 
-// SetTeams replaces the limits, and returns those that differ from before. What a team has used stays; a lower limit holds at once.
-func (ledger *Limiter) SetTeams(teams []team.Team) []LimitChange {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	now := ledger.clock.Now()
+// SetTeams replaces the limits, and returns those that changed. The levels of the buckets are kept; a lower limit applies at once.
+func (limiter *Limiter) SetTeams(teams []team.Team) []LimitChange {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	now := limiter.clock.Now()
 	kept := make(map[team.Name]bool, len(teams))
 	var changes []LimitChange
 	for index := range teams {
-		named := &teams[index]
-		if !named.Limited() {
+		limit := &teams[index]
+		if !limit.Limited() {
 			continue
 		}
-		kept[named.Name] = true
-		known, found := ledger.buckets[named.Name]
+		kept[limit.Name] = true
+		known, found := limiter.buckets[limit.Name]
 		if !found {
-			known = &bucket{name: named.Name, key: keyOf(named.Name), made: now, filled: now}
-			ledger.setLimit(known, named)
-			known.limit = *named
-			ledger.setLimit(known, named)
-			known.level = max(startsWith*known.burst, 1)
-			ledger.buckets[named.Name] = known
-			ledger.byKey[known.key] = known
+			known = &bucket{name: limit.Name, key: keyOf(limit.Name), created: now, filledAt: now}
+			limiter.setLimit(known, limit)
+			known.limit = *limit
+			limiter.setLimit(known, limit)
+			known.level = max(initialFill*known.burst, 1)
+			limiter.buckets[limit.Name] = known
+			limiter.byKey[known.key] = known
 		}
-		if known.limit.Rate != named.Rate || known.limit.Burst != named.Burst {
-			changes = append(changes, LimitChange{Team: named.Name, Before: known.limit.Rate, Rate: named.Rate, Burst: named.Burst})
+		if known.limit.Rate != limit.Rate || known.limit.Burst != limit.Burst {
+			changes = append(changes, LimitChange{Team: limit.Name, Before: known.limit.Rate, Rate: limit.Rate, Burst: limit.Burst})
 		}
-		ledger.fill(now, known)
-		ledger.setLimit(known, named)
-		known.limit = *named
-		known.level = min(known.level, ledger.room(known))
+		limiter.refill(now, known)
+		limiter.setLimit(known, limit)
+		known.limit = *limit
+		known.level = min(known.level, limiter.capacity(known))
 	}
-	for name, bucket := range ledger.buckets {
+	for name, bucket := range limiter.buckets {
 		if !kept[name] {
-			delete(ledger.buckets, name)
-			delete(ledger.byKey, bucket.key)
+			delete(limiter.buckets, name)
+			delete(limiter.byKey, bucket.key)
 			bucket.reportUntil = 0
 		}
 	}
 	return changes
 }
 
-// Admit lets a request of the team in, or returns when its caller may come back. A team without a limit is always let in.
-func (ledger *Limiter) Admit(name team.Name) (clock.Milliseconds, bool) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket, limited := ledger.buckets[name]
+// Admit admits a request of the team, or returns the time after which its caller may retry. A team without a limit is always
+// admitted.
+func (limiter *Limiter) Admit(name team.Name) (clock.Milliseconds, bool) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket, limited := limiter.buckets[name]
 	if !limited {
 		return 0, true
 	}
-	now := ledger.clock.Now()
-	ledger.fill(now, bucket)
+	now := limiter.clock.Now()
+	limiter.refill(now, bucket)
 	if bucket.level < 1 {
 		bucket.usage.Refused++
-		return ledger.wait(bucket), false
+		return limiter.retryAfter(bucket), false
 	}
-	ledger.report(now, bucket)
+	limiter.scheduleReport(now, bucket)
 	bucket.level--
 	bucket.total++
 	bucket.usage.Admitted++
 	return 0, true
 }
 
-// RecordAttempt counts another attempt of a request that was let in and may have run. It is not refused, but what comes after it may be.
-func (ledger *Limiter) RecordAttempt(name team.Name) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket, limited := ledger.buckets[name]
+// RecordAttempt counts another attempt of a request that was admitted and may have run. The attempt is not refused, but later
+// requests may be.
+func (limiter *Limiter) RecordAttempt(name team.Name) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket, limited := limiter.buckets[name]
 	if !limited {
 		return
 	}
-	now := ledger.clock.Now()
-	ledger.fill(now, bucket)
-	ledger.report(now, bucket)
+	now := limiter.clock.Now()
+	limiter.refill(now, bucket)
+	limiter.scheduleReport(now, bucket)
 	bucket.level--
 	bucket.total++
 	bucket.usage.Repeated++
 }
 
-// Return gives back what a request took that has not run and never will.
-func (ledger *Limiter) Return(name team.Name) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket, limited := ledger.buckets[name]
+// Return returns what was taken from the bucket for a request that did not run and never will.
+func (limiter *Limiter) Return(name team.Name) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket, limited := limiter.buckets[name]
 	if !limited {
 		return
 	}
-	now := ledger.clock.Now()
-	ledger.fill(now, bucket)
-	ledger.report(now, bucket)
-	bucket.level = min(bucket.level+1, ledger.room(bucket))
+	now := limiter.clock.Now()
+	limiter.refill(now, bucket)
+	limiter.scheduleReport(now, bucket)
+	bucket.level = min(bucket.level+1, limiter.capacity(bucket))
 	bucket.total--
 	bucket.usage.Returned++
 }
 
-// Exhausted reports whether the team has nothing left for a second copy of a request.
-func (ledger *Limiter) Exhausted(name team.Name) bool {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket, limited := ledger.buckets[name]
+// Exhausted reports whether the team's bucket has nothing left for a hedged request.
+func (limiter *Limiter) Exhausted(name team.Name) bool {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket, limited := limiter.buckets[name]
 	if !limited {
 		return false
 	}
-	ledger.fill(ledger.clock.Now(), bucket)
+	limiter.refill(limiter.clock.Now(), bucket)
 	return bucket.level < 1
 }
 
-// Usage returns what is known of each limited team, in no particular order.
-func (ledger *Limiter) Usage() []Usage {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	now := ledger.clock.Now()
-	usages := make([]Usage, 0, len(ledger.buckets))
-	for _, bucket := range ledger.buckets {
-		ledger.fill(now, bucket)
+// Usage returns the usage of each team that has a limit, in no particular order.
+func (limiter *Limiter) Usage() []Usage {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	now := limiter.clock.Now()
+	usages := make([]Usage, 0, len(limiter.buckets))
+	for _, bucket := range limiter.buckets {
+		limiter.refill(now, bucket)
 		usage := bucket.usage
 		usage.Team, usage.Rate, usage.Level = bucket.name, bucket.rate, bucket.level
 		usages = append(usages, usage)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -12,76 +12,77 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// policy is a way to hold a fleet to a limit.
+// policy is a way to apply a limit to a whole fleet.
 type policy int
 
 const (
-	// countTogether takes what others report out of the own bucket.
-	countTogether policy = iota
-	// equalShares gives each instance that serves the same part of a limit.
+	// sharedBuckets deducts what other instances report from each instance's bucket.
+	sharedBuckets policy = iota
+	// equalShares gives each serving instance the same share of a limit.
 	equalShares
 )
 
-// Mutants of the policy, which the model must find.
+// mutant is a faulty form of the policy, which the model must detect.
 type mutant int
 
 const (
 	noMutant mutant = iota
-	// fullAtStart begins with a full bucket.
+	// fullAtStart starts with a full bucket.
 	fullAtStart
-	// fullShareWhenAlone uses whole limits while nobody is heard.
-	fullShareWhenAlone
-	// hearsNothing passes over what others report.
-	hearsNothing
+	// fullShareWhenIsolated uses whole limits while no reports of other instances come.
+	fullShareWhenIsolated
+	// ignoresReports ignores the reports of other instances.
+	ignoresReports
 )
 
-// modelTimes are those of the fleet that the model stands for.
+// Intervals, delays and sizes of the simulated fleet.
 const (
-	modelStep    = 10 * clock.Millisecond
-	modelReports = 100 * clock.Millisecond
-	// modelUnsettled is the part of the fleet with which an instance counts that has just started.
-	modelUnsettled = 0.45
-	// modelMeets is how long an instance that has started hears nobody.
-	modelMeets     = 300 * clock.Millisecond
-	modelNotices   = 200 * clock.Millisecond
-	modelDelay     = 20 * clock.Millisecond
-	modelLength    = 20 * clock.Second
-	modelInstances = 6
+	modelStep           = 10 * clock.Millisecond
+	modelReportInterval = 100 * clock.Millisecond
+	// modelStartFraction is the fraction of the fleet that an instance counts with just after its start.
+	modelStartFraction = 0.45
+	// modelDiscovery is how long after its start an instance receives no reports.
+	modelDiscovery  = 300 * clock.Millisecond
+	modelVisibility = 200 * clock.Millisecond
+	modelDelay      = 20 * clock.Millisecond
+	modelDuration   = 20 * clock.Second
+	modelInstances  = 6
 )
 
 var modelBounds = Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20}
 
-// modelInstance is one instance that serves.
+// modelInstance is one serving instance.
 type modelInstance struct {
-	ledger *Limiter
-	sender Sender
-	// up says that it runs, part is the part of the fleet in which it is.
-	up   bool
-	part int
-	back clock.Moment
-	// heardOf is when each of the others was last heard.
-	heardOf [modelInstances]clock.Moment
-	started clock.Moment
+	limiter *Limiter
+	sender  Sender
+	// running is whether it runs, part the part of the partitioned fleet that it is in, restartAt when it restarts.
+	running   bool
+	part      int
+	restartAt clock.Moment
+	// lastReceived is when the last datagram of each other instance came.
+	lastReceived [modelInstances]clock.Moment
+	started      clock.Moment
 }
 
-// modelTeam is a team that asks, and what the oracle knows of it.
+// modelTeam is a team that sends requests, with what the check knows of it.
 type modelTeam struct {
 	team.Team
 
-	// asks is how many requests a second it sends, over all instances; one says that all come to one instance.
-	asks  float64
-	one   bool
-	due   float64
-	letIn []clock.Moment
-	asked []clock.Moment
-	worst float64
-	// fair is a single bucket for the whole fleet: what it would let in and the fleet refuses is lost.
+	// requestRate is the number of requests a second that the team sends to all instances together; singleInstance is whether it
+	// sends all of them to one instance.
+	requestRate    float64
+	singleInstance bool
+	due            float64
+	admitted       []clock.Moment
+	requested      []clock.Moment
+	worst          float64
+	// fair is the level of a single bucket for the whole fleet. A request that it would admit and the fleet refuses is lost.
 	fair   float64
 	fairAt clock.Moment
 	lost   int
 }
 
-// model plays some instances and teams in virtual time.
+// model simulates some instances and teams in virtual time.
 type model struct {
 	clock     *clock.Manual
 	random    *rand.Rand
@@ -89,7 +90,7 @@
 	mutant    mutant
 	instances [modelInstances]*modelInstance
 	teams     []*modelTeam
-	flying    []modelDatagram
+	inTransit []modelDatagram
 	loss      float64
 	starts    Sender
 }
@@ -106,13 +107,13 @@
 	model.clock.Advance(clock.Minute)
 	for number := range 4 {
 		rate := []float64{1, 3, 12, 93}[number] * (0.8 + 0.4*model.random.Float64())
-		named := &modelTeam{Team: team.Team{Name: team.Name(fmt.Sprint("team-", number)), Rate: rate, Burst: rate}}
-		named.asks = named.Rate / 1.6
+		requester := &modelTeam{Team: team.Team{Name: team.Name(fmt.Sprint("team-", number)), Rate: rate, Burst: rate}}
+		requester.requestRate = requester.Rate / 1.6
 		if !undisturbed && model.random.IntN(2) == 0 {
-			named.asks *= 2 + 9*model.random.Float64()
-			named.one = model.random.IntN(3) == 0
+			requester.requestRate *= 2 + 9*model.random.Float64()
+			requester.singleInstance = model.random.IntN(3) == 0
 		}
-		model.teams = append(model.teams, named)
+		model.teams = append(model.teams, requester)
 	}
 	for number := range model.instances {
 		model.start(number)
@@ -125,23 +126,23 @@
 
 func (model *model) limits() []team.Team {
 	limits := make([]team.Team, 0, len(model.teams))
-	for _, named := range model.teams {
-		limits = append(limits, named.Team)
+	for _, requester := range model.teams {
+		limits = append(limits, requester.Team)
 	}
 	return limits
 }
 
 func (model *model) start(number int) {
 	model.starts++
-	ledger := NewLimiter(Options{Clock: &model.clock.Clock, Rand: rand.New(rand.NewPCG(uint64(model.starts), 1))})
-	ledger.SetBounds(modelBounds)
-	ledger.SetFleetFraction(modelUnsettled)
+	limiter := NewLimiter(Options{Clock: &model.clock.Clock, Rand: rand.New(rand.NewPCG(uint64(model.starts), 1))})
+	limiter.SetBounds(modelBounds)
+	limiter.SetFleetFraction(modelStartFraction)
 	if model.mutant == fullAtStart {
-		ledger.SetFleetFraction(1)
+		limiter.SetFleetFraction(1)
 	}
-	ledger.SetTeams(model.limits())
+	limiter.SetTeams(model.limits())
 	if model.mutant == fullAtStart {
-		for _, bucket := range ledger.buckets {
+		for _, bucket := range limiter.buckets {
 			bucket.level = bucket.burst
 		}
 	}
@@ -149,149 +150,149 @@
 	if before := model.instances[number]; before != nil {
 		part = before.part
 	}
-	model.instances[number] = &modelInstance{ledger: ledger, sender: model.starts, up: true, part: part, started: model.clock.Now()}
+	model.instances[number] = &modelInstance{limiter: limiter, sender: model.starts, running: true, part: part, started: model.clock.Now()}
 }
 
-// setShare tells an instance which part of each limit is its own.
+// setShare sets the share of each limit that an instance may use.
 func (model *model) setShare(number int) {
-	ledger := model.instances[number].ledger
+	limiter := model.instances[number].limiter
 	if model.policy == equalShares {
-		ledger.share = (1 + overApart*modelBounds.Over) / modelInstances
+		limiter.share = (1 + partitionedOverShare*modelBounds.Over) / modelInstances
 		return
 	}
-	ledger.SetFleetFraction(model.share(number))
+	limiter.SetFleetFraction(model.share(number))
 }
 
-// share is the part of the fleet that an instance counts together with.
+// share returns the fraction of the fleet that an instance exchanges reports with.
 func (model *model) share(number int) float64 {
 	seen := 1
 	for other := range model.instances {
-		if other != number && model.clock.Now().Since(model.instances[number].heardOf[other]) < modelNotices && model.instances[number].heardOf[other] > 0 {
+		if other != number && model.clock.Now().Since(model.instances[number].lastReceived[other]) < modelVisibility && model.instances[number].lastReceived[other] > 0 {
 			seen++
 		}
 	}
 	switch {
-	case model.mutant == fullShareWhenAlone:
+	case model.mutant == fullShareWhenIsolated:
 		return 1
 	case model.mutant == fullAtStart && model.clock.Now().Since(model.instances[number].started) < clock.Second:
 		return 1
 	case model.clock.Now().Since(model.instances[number].started) < clock.Second:
-		return max(float64(seen)/modelInstances, modelUnsettled)
+		return max(float64(seen)/modelInstances, modelStartFraction)
 	default:
 		return float64(seen) / modelInstances
 	}
 }
 
-// step plays a moment; requests come only if asked for.
-func (model *model) step(asks bool) {
+// step advances the time by one step; teams send requests only if withRequests is set.
+func (model *model) step(withRequests bool) {
 	model.clock.Advance(modelStep)
 	now := model.clock.Now()
 	model.deliver(now)
 	for number, instance := range model.instances {
-		if !instance.up && now >= instance.back {
+		if !instance.running && now >= instance.restartAt {
 			model.start(number)
 		}
 	}
-	if int(now/clock.Moment(modelStep))%int(modelReports/modelStep) == 0 {
+	if int(now/clock.Moment(modelStep))%int(modelReportInterval/modelStep) == 0 {
 		for number, instance := range model.instances {
-			if instance.up {
+			if instance.running {
 				model.setShare(number)
 				model.report(now, number)
 			}
 		}
 	}
-	if asks {
-		for _, named := range model.teams {
-			model.ask(now, named)
+	if withRequests {
+		for _, requester := range model.teams {
+			model.sendRequests(now, requester)
 		}
 	}
 }
 
 func (model *model) report(now clock.Moment, number int) {
-	reports := model.instances[number].ledger.Reports(model.instances[number].sender)
+	reports := model.instances[number].limiter.Reports(model.instances[number].sender)
 	if len(reports) == 0 {
-		// The word that an instance lives.
+		// A report without counts only shows that the instance is alive.
 		reports = []Report{{}}
 	}
 	for other := range model.instances {
 		for _, report := range reports {
 			if other != number && model.random.Float64() >= model.loss {
 				at := now.Add(modelDelay * clock.Milliseconds(model.random.Float64()))
-				model.flying = append(model.flying, modelDatagram{to: other, from: number, at: at, report: report})
+				model.inTransit = append(model.inTransit, modelDatagram{to: other, from: number, at: at, report: report})
 			}
 		}
 	}
 }
 
 func (model *model) deliver(now clock.Moment) {
-	left := model.flying[:0]
-	for _, datagram := range model.flying {
+	left := model.inTransit[:0]
+	for _, datagram := range model.inTransit {
 		if datagram.at > now {
 			left = append(left, datagram)
 			continue
 		}
 		from, to := model.instances[datagram.from], model.instances[datagram.to]
-		if !to.up || from.part != to.part || now.Since(to.started) < modelMeets || now.Since(from.started) < modelMeets {
+		if !to.running || from.part != to.part || now.Since(to.started) < modelDiscovery || now.Since(from.started) < modelDiscovery {
 			continue
 		}
-		to.heardOf[datagram.from] = now
-		if datagram.report.Sequence > 0 && model.policy == countTogether && model.mutant != hearsNothing {
-			to.ledger.Receive(datagram.report)
+		to.lastReceived[datagram.from] = now
+		if datagram.report.Sequence > 0 && model.policy == sharedBuckets && model.mutant != ignoresReports {
+			to.limiter.Receive(datagram.report)
 		}
 	}
-	model.flying = left
+	model.inTransit = left
 }
 
-func (model *model) ask(now clock.Moment, named *modelTeam) {
-	named.due += named.asks * float64(modelStep/clock.Second) * 2 * model.random.Float64()
-	for ; named.due >= 1; named.due-- {
+func (model *model) sendRequests(now clock.Moment, requester *modelTeam) {
+	requester.due += requester.requestRate * float64(modelStep/clock.Second) * 2 * model.random.Float64()
+	for ; requester.due >= 1; requester.due-- {
 		chosen := model.random.IntN(modelInstances)
-		if named.one {
+		if requester.singleInstance {
 			chosen = 1
 		}
 		instance := model.instances[chosen]
-		if !instance.up {
+		if !instance.running {
 			continue
 		}
-		named.fair = min(named.fair+named.Rate*float64(now.Since(named.fairAt)/clock.Second), max(named.Burst, 1))
-		named.fairAt = now
-		within := named.fair >= 1
+		requester.fair = min(requester.fair+requester.Rate*float64(now.Since(requester.fairAt)/clock.Second), max(requester.Burst, 1))
+		requester.fairAt = now
+		within := requester.fair >= 1
 		if within {
-			named.fair--
+			requester.fair--
 		}
-		named.asked = append(named.asked, now)
-		_, taken := instance.ledger.Admit(named.Name)
+		requester.requested = append(requester.requested, now)
+		_, admitted := instance.limiter.Admit(requester.Name)
 		switch {
-		case taken && model.random.IntN(20) == 0:
-			instance.ledger.Return(named.Name)
-		case taken:
-			named.letIn = append(named.letIn, now)
-			model.check(now, named)
+		case admitted && model.random.IntN(20) == 0:
+			instance.limiter.Return(requester.Name)
+		case admitted:
+			requester.admitted = append(requester.admitted, now)
+			model.check(now, requester)
 		case within:
-			named.lost++
+			requester.lost++
 		}
 	}
 }
 
-// check is the rule: what ran in the window that ends now, by the limit.
-func (model *model) check(now clock.Moment, named *modelTeam) {
-	first := len(named.letIn)
-	for first > 0 && now.Since(named.letIn[first-1]) < modelBounds.Window {
+// check records how much of what the limit allows was admitted in the window that ends now.
+func (model *model) check(now clock.Moment, requester *modelTeam) {
+	first := len(requester.admitted)
+	for first > 0 && now.Since(requester.admitted[first-1]) < modelBounds.Window {
 		first--
 	}
-	limit := (named.Rate*float64(modelBounds.Window/clock.Second)+named.Burst)*(1+modelBounds.Over) + modelBounds.Slack
-	named.worst = max(named.worst, float64(len(named.letIn)-first)/limit)
+	limit := (requester.Rate*float64(modelBounds.Window/clock.Second)+requester.Burst)*(1+modelBounds.Over) + modelBounds.Slack
+	requester.worst = max(requester.worst, float64(len(requester.admitted)-first)/limit)
 }
 
-// disturb begins a change that the fleet must bear.
+// disturb starts a random fault or change.
 func (model *model) disturb(now clock.Moment) {
 	switch model.random.IntN(6) {
 	case 0:
 		instance := model.instances[model.random.IntN(modelInstances)]
-		instance.up, instance.back = false, now.Add(clock.Second)
+		instance.running, instance.restartAt = false, now.Add(clock.Second)
 	case 1:
 		for _, instance := range model.instances {
-			instance.up, instance.back = false, now.Add(1100*clock.Millisecond)
+			instance.running, instance.restartAt = false, now.Add(1100*clock.Millisecond)
 		}
 	case 2:
 		for number, instance := range model.instances {
@@ -304,15 +305,16 @@
 	case 4:
 		model.loss = 0.3 * model.random.Float64()
 	default:
-		for _, named := range model.teams {
-			named.asks = named.Rate / 1.6 * (0.5 + 10*model.random.Float64()*model.random.Float64())
+		for _, requester := range model.teams {
+			requester.requestRate = requester.Rate / 1.6 * (0.5 + 10*model.random.Float64()*model.random.Float64())
 		}
 	}
 }
 
-// play plays a schedule and returns the worst use of what is allowed, and the part of what was asked that was refused below the limit.
-func (model *model) play(undisturbed bool) (float64, float64) {
-	end := model.clock.Now().Add(modelLength)
+// run runs a random schedule. It returns the highest use of a limit as a share of what is allowed, and the share of requests that
+// were refused below the limit.
+func (model *model) run(undisturbed bool) (float64, float64) {
+	end := model.clock.Now().Add(modelDuration)
 	next := model.clock.Now().Add(2 * clock.Second)
 	for model.clock.Now() < end {
 		model.step(true)
@@ -321,72 +323,74 @@
 			next = now.Add(clock.Second + 3*clock.Second*clock.Milliseconds(model.random.Float64()))
 		}
 	}
-	worst, lost, asked := 0.0, 0, 0
-	for _, named := range model.teams {
-		worst = max(worst, named.worst)
-		lost += named.lost
-		asked += len(named.asked)
+	worst, lost, requested := 0.0, 0, 0
+	for _, requester := range model.teams {
+		worst = max(worst, requester.worst)
+		lost += requester.lost
+		requested += len(requester.requested)
 	}
-	return worst, float64(lost) / float64(max(asked, 1))
+	return worst, float64(lost) / float64(max(requested, 1))
 }
 
-var schedules = flag.Int("schedules", 200, "how many schedules of failures to play")
+var schedules = flag.Int("schedules", 200, "how many schedules of failures to run")
 
-// Guards against a limit that is exceeded by more than agreed while instances are killed, cut off from each other and started together.
+// Guards against a limit that is exceeded by more than allowed while instances are killed, cut off from each other and restarted
+// together.
 func TestLimitHoldsUnderFailure(t *testing.T) {
 	for seed := range uint64(*schedules) {
-		worst, _ := newModel(seed, countTogether, noMutant, false).play(false)
+		worst, _ := newModel(seed, sharedBuckets, noMutant, false).run(false)
 		require.LessOrEqual(t, worst, 1.0, "seed %d", seed)
 	}
 }
 
-// Guards against forms of the policy that once exceeded a limit: all instances restarted, or cut apart, while a team asks many times its limit.
+// Guards against earlier forms of the policy that exceeded a limit: all instances were restarted, or the fleet was partitioned,
+// while a team sent many times its limit.
 func TestLimitHoldsInCases(t *testing.T) {
 	for _, seed := range []uint64{976, 1354, 1637, 2200, 3567, 10757} {
-		worst, _ := newModel(seed, countTogether, noMutant, false).play(false)
+		worst, _ := newModel(seed, sharedBuckets, noMutant, false).run(false)
 		require.LessOrEqual(t, worst, 1.0, "seed %d", seed)
 	}
 }
 
-// Guards against requests that are refused although their team stays below its limit.
+// Guards against refused requests of a team that stays below its limit.
 func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
 	for seed := range uint64(10) {
-		worst, lost := newModel(seed, countTogether, noMutant, true).play(true)
+		worst, lost := newModel(seed, sharedBuckets, noMutant, true).run(true)
 		require.LessOrEqual(t, worst, 1.0, "seed %d", seed)
 		require.Less(t, lost, 0.001, "seed %d", seed)
 	}
 }
 
-// Guards against a model that would not notice a broken policy.
+// Guards against a model that does not detect a faulty policy.
 func TestModelFindsMutants(t *testing.T) {
 	cases := []struct {
 		name   string
 		mutant mutant
 	}{
 		{"a full bucket at each start", fullAtStart},
-		{"whole limits while nobody is heard", fullShareWhenAlone},
-		{"reports passed over", hearsNothing},
+		{"whole limits while no reports come", fullShareWhenIsolated},
+		{"reports ignored", ignoresReports},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			for seed := range uint64(200) {
-				if worst, _ := newModel(seed, countTogether, testCase.mutant, false).play(false); worst > 1 {
-					t.Logf("found by seed %d", seed)
+				if worst, _ := newModel(seed, sharedBuckets, testCase.mutant, false).run(false); worst > 1 {
+					t.Logf("detected by seed %d", seed)
 					return
 				}
 			}
-			t.Error("no seed finds it")
+			t.Error("no seed detects the mutant")
 		})
 	}
 }
 
-// TestPolicies compares the ways to hold a limit; run it with -v for the table.
+// TestPolicies compares the ways to apply a limit; run it with -v for the table.
 func TestPolicies(t *testing.T) {
 	cases := []struct {
 		name   string
 		policy policy
 	}{
-		{"counts together", countTogether},
+		{"shared buckets", sharedBuckets},
 		{"equal shares", equalShares},
 	}
 	for _, testCase := range cases {
@@ -394,7 +398,7 @@
 			worst, lost := 0.0, 0.0
 			const seeds = 30
 			for seed := range uint64(seeds) {
-				exceeded, refused := newModel(seed, testCase.policy, noMutant, undisturbed).play(undisturbed)
+				exceeded, refused := newModel(seed, testCase.policy, noMutant, undisturbed).run(undisturbed)
 				worst = max(worst, exceeded)
 				lost += refused / seeds
 			}
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -8,165 +8,169 @@
 )
 
 const (
-	// repeatFor is how long a count is reported after it changed: datagrams are lost at times.
-	repeatFor = 200 * clock.Millisecond
-	// lapsedAfter is the silence after which what a sender let in meanwhile is not taken off: it was let in from another part of the fleet,
-	// or long ago. An instance that heard of nobody's requests for that long has missed what a bucket lost, and takes over another one's level.
-	lapsedAfter = clock.Second
-	// settledAfter is the age from which a bucket's level is worth taking over.
+	// reportPeriod is how long a total is reported after it changed, since datagrams may be lost.
+	reportPeriod = 200 * clock.Millisecond
+	// lapseTimeout is the time without a report from a sender after which the requests that it admitted meanwhile are not deducted:
+	// it admitted them in another part of a partitioned fleet, or long ago. A bucket for which no report came for that long has
+	// missed deductions, and adopts the level of the next report if that is lower.
+	lapseTimeout = clock.Second
+	// settledAfter is the age from which a bucket's level is reported for others to adopt.
 	settledAfter = 2 * clock.Second
-	// forgetAfter is how long a silent sender's counts are kept.
-	forgetAfter = clock.Minute
-	// sendersMost bounds the number of senders that are kept, countsMost that of counts in one report.
-	sendersMost = 4096
-	countsMost  = 96
-	// stepMost is the largest change of a count that is believed at once: a report that is no report would else empty a bucket for long.
-	stepMost = 1 << 20
+	// senderExpiry is how long the totals of a sender are kept after its last report.
+	senderExpiry = clock.Minute
+	// maxSenders is the maximum number of senders that are kept, maxCounts the maximum number of counts in one report.
+	maxSenders = 4096
+	maxCounts  = 96
+	// maxStep bounds the change of a total that is accepted from one report: otherwise a malformed report would empty a bucket for
+	// long.
+	maxStep = 1 << 20
 )
 
-// Sender tells the instances that report from each other, and one run of an instance from another.
+// Sender identifies one run of an instance that reports.
 type Sender uint64
 
-// Count is how many requests of a team an instance has let in.
+// Count is the number of requests of a team that an instance has admitted.
 type Count struct {
 	_ struct{} `cbor:",toarray"`
 
 	Team TeamKey
-	// Total counts from the sender's start and wraps.
+	// Total counts from the sender's start and wraps around.
 	Total uint32
-	// Level is the sender's, unknownLevel when it has just started.
+	// Level is the level of the sender's bucket, unknownLevel when that was created recently.
 	Level int16
 }
 
-// unknownLevel stands for a level that is not worth taking over.
+// unknownLevel is reported instead of a level that others should not adopt.
 const unknownLevel = math.MinInt16
 
-// Report is what one instance tells another of the requests that it has let in.
+// Report contains the requests that one instance has admitted, for another instance.
 type Report struct {
 	_ struct{} `cbor:",toarray"`
 
 	Sender Sender
-	// Sequence rises with each report of a sender.
+	// Sequence increases with each report of a sender.
 	Sequence uint64
 	Counts   []Count
 }
 
-// heardCounts are those of one sender.
-type heardCounts struct {
-	sequence uint64
-	totals   map[TeamKey]uint32
-	at       clock.Moment
+// senderCounts are the totals last reported by one sender.
+type senderCounts struct {
+	sequence   uint64
+	totals     map[TeamKey]uint32
+	receivedAt clock.Moment
 }
 
-// report has the bucket's count reported.
-func (ledger *Limiter) report(now clock.Moment, bucket *bucket) {
-	bucket.reportUntil = now.Add(repeatFor)
-	if !bucket.reported {
-		bucket.reported = true
-		ledger.reporting = append(ledger.reporting, bucket)
+// scheduleReport includes the bucket's total in the reports of the next reportPeriod.
+func (limiter *Limiter) scheduleReport(now clock.Moment, bucket *bucket) {
+	bucket.reportUntil = now.Add(reportPeriod)
+	if !bucket.reporting {
+		bucket.reporting = true
+		limiter.reporting = append(limiter.reporting, bucket)
 	}
 }
 
-// Reports returns what other instances are to hear, each of which fits into one datagram; nil when there is nothing.
-func (ledger *Limiter) Reports(sender Sender) []Report {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	now := ledger.clock.Now()
-	counts := make([]Count, 0, len(ledger.reporting))
-	remaining := ledger.reporting[:0]
-	for _, bucket := range ledger.reporting {
+// Reports returns the reports for other instances, each of which fits into one datagram; nil when there is nothing to report.
+func (limiter *Limiter) Reports(sender Sender) []Report {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	now := limiter.clock.Now()
+	counts := make([]Count, 0, len(limiter.reporting))
+	remaining := limiter.reporting[:0]
+	for _, bucket := range limiter.reporting {
 		if now > bucket.reportUntil {
-			bucket.reported = false
+			bucket.reporting = false
 			continue
 		}
 		remaining = append(remaining, bucket)
-		ledger.fill(now, bucket)
-		counts = append(counts, Count{Team: bucket.key, Total: bucket.total, Level: bucket.tellLevel(now)})
+		limiter.refill(now, bucket)
+		counts = append(counts, Count{Team: bucket.key, Total: bucket.total, Level: bucket.reportedLevel(now)})
 	}
-	clear(ledger.reporting[len(remaining):])
-	ledger.reporting = remaining
+	clear(limiter.reporting[len(remaining):])
+	limiter.reporting = remaining
 	var reports []Report
-	for part := range slices.Chunk(counts, countsMost) {
-		ledger.sequence++
-		reports = append(reports, Report{Sender: sender, Sequence: ledger.sequence, Counts: part})
+	for part := range slices.Chunk(counts, maxCounts) {
+		limiter.sequence++
+		reports = append(reports, Report{Sender: sender, Sequence: limiter.sequence, Counts: part})
 	}
 	return reports
 }
 
-// EmptyReport returns a report that says only that its sender hears others.
-func (ledger *Limiter) EmptyReport(sender Sender) Report {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	ledger.sequence++
-	return Report{Sender: sender, Sequence: ledger.sequence}
+// EmptyReport returns a report without counts, which shows only that its sender receives reports of others.
+func (limiter *Limiter) EmptyReport(sender Sender) Report {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	limiter.sequence++
+	return Report{Sender: sender, Sequence: limiter.sequence}
 }
 
-// Receive takes what another instance has let in out of the buckets. A report that comes late or twice changes nothing.
-func (ledger *Limiter) Receive(report Report) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	now := ledger.clock.Now()
-	ledger.forgetSilent(now)
-	known, found := ledger.heard[report.Sender]
+// Receive deducts the requests that another instance has admitted from the buckets. A report that is out of order or repeated is
+// ignored.
+func (limiter *Limiter) Receive(report Report) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	now := limiter.clock.Now()
+	limiter.expireSenders(now)
+	known, found := limiter.senders[report.Sender]
 	if !found {
-		if len(ledger.heard) >= sendersMost {
+		if len(limiter.senders) >= maxSenders {
 			return
 		}
-		known = &heardCounts{totals: map[TeamKey]uint32{}}
-		ledger.heard[report.Sender] = known
+		known = &senderCounts{totals: map[TeamKey]uint32{}}
+		limiter.senders[report.Sender] = known
 	}
 	if report.Sequence <= known.sequence {
 		return
 	}
-	lapsed := now.Since(known.at) > lapsedAfter
-	known.sequence, known.at = report.Sequence, now
+	lapsed := now.Since(known.receivedAt) > lapseTimeout
+	known.sequence, known.receivedAt = report.Sequence, now
 	for _, count := range report.Counts {
-		bucket, limited := ledger.byKey[count.Team]
+		bucket, limited := limiter.byKey[count.Team]
 		if !limited {
 			continue
 		}
-		if now.Since(bucket.heard) > lapsedAfter && count.Level != unknownLevel {
-			ledger.fill(now, bucket)
-			bucket.level = min(bucket.level, max(float64(count.Level), bucket.leastLevel()))
+		if now.Since(bucket.lastRemote) > lapseTimeout && count.Level != unknownLevel {
+			limiter.refill(now, bucket)
+			bucket.level = min(bucket.level, max(float64(count.Level), bucket.minLevel()))
 		}
-		bucket.heard = now
-		before, heardBefore := known.totals[count.Team]
+		bucket.lastRemote = now
+		before, knownBefore := known.totals[count.Team]
 		known.totals[count.Team] = count.Total
-		if step := int32(count.Total - before); heardBefore && !lapsed && step > -stepMost && step < stepMost {
-			ledger.takeElsewhere(now, bucket, step)
+		if step := int32(count.Total - before); knownBefore && !lapsed && step > -maxStep && step < maxStep {
+			limiter.deductRemote(now, bucket, step)
 		}
 	}
 }
 
-// tellLevel is the level as it is reported.
-func (bucket *bucket) tellLevel(now clock.Moment) int16 {
-	if now.Since(bucket.made) < settledAfter {
+// reportedLevel returns the level as it is reported.
+func (bucket *bucket) reportedLevel(now clock.Moment) int16 {
+	if now.Since(bucket.created) < settledAfter {
 		return unknownLevel
 	}
 	return int16(min(max(bucket.level, math.MinInt16+1), math.MaxInt16))
 }
 
-// takeElsewhere takes requests off that another instance has let in; a negative number gives them back.
-func (ledger *Limiter) takeElsewhere(now clock.Moment, bucket *bucket, step int32) {
+// deductRemote deducts requests that another instance has admitted; a negative number returns them.
+func (limiter *Limiter) deductRemote(now clock.Moment, bucket *bucket, step int32) {
 	if step == 0 {
 		return
 	}
-	ledger.fill(now, bucket)
-	level := max(bucket.level-float64(step), min(bucket.leastLevel(), bucket.level))
-	bucket.level = min(level, ledger.room(bucket))
+	limiter.refill(now, bucket)
+	level := max(bucket.level-float64(step), min(bucket.minLevel(), bucket.level))
+	bucket.level = min(level, limiter.capacity(bucket))
 	if step > 0 {
 		bucket.usage.Remote += uint64(step)
 	}
 }
 
-func (ledger *Limiter) forgetSilent(now clock.Moment) {
-	if now < ledger.nextForget {
+// expireSenders removes the totals of senders that have not reported for senderExpiry.
+func (limiter *Limiter) expireSenders(now clock.Moment) {
+	if now < limiter.nextExpiry {
 		return
 	}
-	ledger.nextForget = now.Add(forgetAfter / 4)
-	for sender, known := range ledger.heard {
-		if now.Since(known.at) > forgetAfter {
-			delete(ledger.heard, sender)
+	limiter.nextExpiry = now.Add(senderExpiry / 4)
+	for sender, known := range limiter.senders {
+		if now.Since(known.receivedAt) > senderExpiry {
+			delete(limiter.senders, sender)
 		}
 	}
 }
