--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -26,7 +26,7 @@
 	// AwaitTable waits briefly for a routing table if there is none yet. It may be nil.
 	AwaitTable func(context.Context) *routing.Table
 	// Quota enforces the teams' rate limits; it may be nil.
-	Quota *quota.Ledger
+	Quota *quota.Limiter
 	// KeyFreshness returns how current the API keys of the active table are; nil means that they are current.
 	KeyFreshness func() team.KeyStanding
 	// Servers are the connections to backend servers.
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -106,7 +106,7 @@
 	if call.identity.team == nil || quota == nil {
 		return nil
 	}
-	wait, admitted := quota.Take(call.identity.team.Name)
+	wait, admitted := quota.Admit(call.identity.team.Name)
 	if !admitted {
 		return &errorResponse{status: http.StatusTooManyRequests, reason: outcome.ReasonTeamLimit, retryAfter: wait, cause: errTeamLimit}
 	}
@@ -117,7 +117,7 @@
 // chargeRetry counts another attempt against the team's rate limit.
 func (call *call) chargeRetry() {
 	if call.identity.quotaCharged {
-		call.handler.options.Quota.Repeat(call.identity.team.Name)
+		call.handler.options.Quota.RecordAttempt(call.identity.team.Name)
 	}
 }
 
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -77,8 +77,8 @@
 // hear lets the instance hear another one.
 func (fixture *fixture) hear(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
-	fixture.controller.hear(&Message{Beat: &membership.Beat{
-		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, Fresh: true,
+	fixture.controller.hear(&Message{Beat: &membership.Heartbeat{
+		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, CatalogFresh: true,
 	}})
 }
 
@@ -86,7 +86,7 @@
 func newStandby(tb testing.TB, instances, targets int) *fixture {
 	fixture := newFixture(instances - 1)
 	for number := range instances - 1 {
-		state := membership.StandingBy
+		state := membership.Standby
 		if number < fixtureDataCentres {
 			state = membership.Serving
 			fixture.serving = append(fixture.serving, identity(number))
@@ -96,7 +96,7 @@
 	fixture.controller.applyView(view(targets, fixtureDataCentres))
 	fixture.pass(clock.Second)
 	fixture.second()
-	require.Equal(tb, membership.StandingBy, fixture.controller.members.State())
+	require.Equal(tb, membership.Standby, fixture.controller.members.State())
 	return fixture
 }
 
--- /dev/null
+++ b/internal/membership/heartbeat.go
@@ -0,0 +1,180 @@
+package membership
+
+import (
+	"net/netip"
+
+	"github.com/jaywheel/jaywheel/internal/catalog"
+	"github.com/jaywheel/jaywheel/pkg/clock"
+	"github.com/jaywheel/jaywheel/pkg/settings"
+)
+
+// MemberSummary is the part of a heartbeat that describes another member.
+type MemberSummary struct {
+	_        struct{} `cbor:",toarray"`
+	Identity Identity
+	State    State
+}
+
+// Heartbeat announces that its sender is alive, and the state and catalog that it has.
+type Heartbeat struct {
+	_           struct{} `cbor:",toarray"`
+	Identity    Identity
+	Incarnation Incarnation
+	Sequence    uint64
+	State       State
+	// Revision and Version are those of the sender's catalog.
+	Revision catalog.Revision
+	Version  catalog.Version
+	// CatalogFresh is whether the sender itself reads the store and the store answers.
+	CatalogFresh bool
+	// WantsReply is whether the sender looks for serving instances and waits for a reply.
+	WantsReply bool
+	Summaries  []MemberSummary
+	// Promoted are the standby instances that should begin to serve, in the view of a serving sender.
+	Promoted []settings.InstanceName
+}
+
+// DueHeartbeats returns the addresses to which a heartbeat is due now, and records them as sent.
+func (members *Members) DueHeartbeats() []netip.AddrPort {
+	now := members.options.Clock.Now()
+	var due []netip.AddrPort
+	leaderless := members.Leaderless()
+	for _, member := range members.roster.all {
+		interval, wanted := members.heartbeatInterval(member, leaderless)
+		scheduled := wanted && now >= member.nextHeartbeat
+		replyDue := member.replyDue && now.Since(member.lastSent) >= minReplyInterval
+		if scheduled || replyDue {
+			member.nextHeartbeat = now.Add(interval)
+			member.lastSent = now
+			member.replyDue, member.lastWasReply = false, !scheduled
+			due = append(due, member.Address)
+		}
+	}
+	for _, seed := range members.options.Seeds {
+		if now < members.nextSeedHeartbeat[seed] || seed == members.self || members.isActive(seed) {
+			continue
+		}
+		interval := lostInterval
+		if now.Since(members.started) < seedDiscoveryPeriod {
+			interval = joinInterval
+		}
+		members.nextSeedHeartbeat[seed] = now.Add(interval)
+		due = append(due, seed)
+	}
+	return due
+}
+
+// isActive reports whether a heartbeat came from the address and its member is not lost.
+func (members *Members) isActive(address netip.AddrPort) bool {
+	member, known := members.roster.findByAddress(address)
+	return known && member.State != Lost && member.lastSeen > 0
+}
+
+// Leaderless reports whether no serving instance is known.
+func (members *Members) Leaderless() bool {
+	return members.state != Serving && len(members.ServingPeers()) == 0
+}
+
+// isQueried reports whether the member is queried while no serving instance is known: it is top-ranked, or a seed, which other
+// instances query too.
+func (members *Members) isQueried(member *Member) bool {
+	return members.roster.currentRanking(members).topRanked[member] || members.isSeed(member.Address)
+}
+
+// isLocalOrSeed reports whether the member knows the ranking of this instance's data centre: members of that data centre and seeds
+// do.
+func (members *Members) isLocalOrSeed(member *Member) bool {
+	return member.Identity.DataCentre == members.options.Self.DataCentre || members.isSeed(member.Address)
+}
+
+// heartbeatInterval returns the time between two heartbeats to a member, and whether it is sent any. In a fleet that has just
+// started, no instance contacts all others: the number of datagrams would grow with the square of the number of instances.
+func (members *Members) heartbeatInterval(member *Member, leaderless bool) (clock.Milliseconds, bool) {
+	serves := members.state == Serving
+	switch {
+	case member.State == Lost:
+		return lostInterval, serves || leaderless
+	case members.state == Joining:
+		return joinInterval, member.State == Serving || members.isLocalOrSeed(member) && members.isQueried(member)
+	case serves && (member.State == Serving || member.State == Joining):
+		return servingInterval, true
+	case serves || member.State == Serving:
+		return standbyInterval, true
+	case members.state == Leaving:
+		return standbyInterval, member.nextHeartbeat == 0
+	default:
+		return members.queryInterval(member), leaderless && members.isQueried(member)
+	}
+}
+
+// queryInterval is the time between two heartbeats to a queried member while no serving instance is known.
+func (members *Members) queryInterval(member *Member) clock.Milliseconds {
+	if members.isLocalOrSeed(member) && members.options.Clock.Now().Since(members.started) < startupPeriod {
+		return joinInterval
+	}
+	return servingInterval
+}
+
+// NewHeartbeat returns the next heartbeat for the receiver at the address.
+func (members *Members) NewHeartbeat(to netip.AddrPort) Heartbeat {
+	members.sequence++
+	heartbeat := Heartbeat{
+		Identity: members.options.Self, Incarnation: members.options.Incarnation, Sequence: members.sequence, State: members.state,
+		Revision: members.revision, Version: members.version, CatalogFresh: members.fresh, Promoted: members.promotions(),
+	}
+	if member, known := members.roster.findByAddress(to); members.state == Joining || members.Leaderless() {
+		heartbeat.WantsReply = !known || !member.lastWasReply
+	}
+	if !members.includesSummaries(to) {
+		return heartbeat
+	}
+	heartbeat.Summaries = members.summaries()
+	return heartbeat
+}
+
+// includesSummaries reports whether the next heartbeat to the receiver contains member summaries: for some time after a change, and
+// periodically in case those heartbeats were lost. Summaries make up most of a heartbeat's bytes.
+func (members *Members) includesSummaries(to netip.AddrPort) bool {
+	if members.options.Clock.Now().Since(members.changedAt) < summariesAfterChange || members.sequence%summariesEvery == 0 {
+		return true
+	}
+	member, known := members.roster.findByAddress(to)
+	return !known || member.lastWasReply
+}
+
+// summaries returns the member summaries for one heartbeat: first serving members, members to promote and recently lost ones, then
+// the others in turn. Standby instances send them too: after a restart of the whole fleet, the serving instances may know only the
+// seeds.
+func (members *Members) summaries() []MemberSummary {
+	now := members.options.Clock.Now()
+	ranking := members.roster.currentRanking(members)
+	var serving, toPromote, lost, others []MemberSummary
+	for _, member := range members.All() {
+		summary := MemberSummary{Identity: member.Identity, State: member.State}
+		switch {
+		case member.State == Serving:
+			serving = append(serving, summary)
+		case ranking.toPromote[member]:
+			toPromote = append(toPromote, summary)
+		case member.State != Lost:
+			others = append(others, summary)
+		case now.Since(member.lastSeen) < 2*standbyTimeout:
+			lost = append(lost, summary)
+		}
+	}
+	members.summaryCursor++
+	summaries := rotate(serving, members.summaryCursor, maxSummaries)
+	summaries = append(summaries, rotate(toPromote, members.summaryCursor, maxSummaries)...)
+	summaries = append(summaries, rotate(lost, members.summaryCursor, maxSummaries-len(summaries))...)
+	return append(summaries, rotate(others, members.summaryCursor, maxStandbySummaries)...)
+}
+
+// rotate returns up to count summaries, the next ones with each turn.
+func rotate(summaries []MemberSummary, turn, count int) []MemberSummary {
+	count = min(max(count, 0), len(summaries))
+	selected := make([]MemberSummary, 0, count)
+	for offset := range count {
+		selected = append(selected, summaries[(turn*count+offset)%len(summaries)])
+	}
+	return selected
+}
--- /dev/null
+++ b/internal/membership/promotion.go
@@ -0,0 +1,103 @@
+package membership
+
+import (
+	"net/netip"
+	"slices"
+
+	"github.com/jaywheel/jaywheel/pkg/clock"
+	"github.com/jaywheel/jaywheel/pkg/settings"
+)
+
+// promotions returns the standby instances that should begin to serve. Serving instances decide, since they know all standby
+// instances; standby instances do not know each other, and several would take over from one lost instance.
+func (members *Members) promotions() []settings.InstanceName {
+	if members.state != Serving || members.options.Clock.Now().Since(members.stateSince) < promoteAfter {
+		return nil
+	}
+	var promoted []settings.InstanceName
+	byDataCentre, perDataCentre := members.candidates()
+	for _, candidates := range byDataCentre {
+		for _, candidate := range candidates[:min(perDataCentre, len(candidates))] {
+			if !candidate.serving {
+				promoted = append(promoted, candidate.identity.Name)
+			}
+		}
+	}
+	return promoted
+}
+
+// promoted reports whether a serving instance has recently promoted this one. Promotions that are out of date, or that are based on
+// fewer serving instances than are known here, are ignored.
+func (members *Members) promoted() bool {
+	now := members.options.Clock.Now()
+	byDataCentre, perDataCentre := members.candidates()
+	serving := 0
+	for _, candidate := range byDataCentre[members.options.Self.DataCentre] {
+		if candidate.serving && candidate.identity.Size >= members.options.Self.Size {
+			serving++
+		}
+	}
+	return serving < perDataCentre && slices.ContainsFunc(members.ServingPeers(), func(peer *Member) bool {
+		return now.Since(peer.lastSeen) < promotionValidFor && slices.Contains(peer.Promoted, members.options.Self.Name)
+	})
+}
+
+// ShouldServe reports whether this instance should serve. A standby instance waits for the promotion by a serving instance. If no
+// instance serves, or this one serves already, it must be among the first of its data centre by rank. Larger instances rank before
+// smaller ones, which cannot carry as much load. Among equal ones, serving instances rank first, so that no instance has to stop
+// serving when another returns. Seeds rank last: they have the most work when many instances start, and the addresses that callers
+// keep should not depend on the machines that instances are discovered through.
+func (members *Members) ShouldServe() bool {
+	if members.state == Leaving || members.state == Joining {
+		return false
+	}
+	now := members.options.Clock.Now()
+	starting := now.Since(members.started) < startupPeriod
+	switch {
+	case members.state == Standby && !members.Leaderless() && !starting:
+		return members.promoted()
+	case members.state == Standby && starting && members.discovering(now):
+		return false
+	}
+	byDataCentre, perDataCentre := members.candidates()
+	own := byDataCentre[members.options.Self.DataCentre]
+	for _, candidate := range own[:min(perDataCentre, len(own))] {
+		if candidate.identity.Name == members.options.Self.Name {
+			return true
+		}
+	}
+	return false
+}
+
+// TopRanked reports whether this instance is among the first of its data centre by rank, spare candidates included.
+func (members *Members) TopRanked() bool {
+	byDataCentre, perDataCentre := members.candidates()
+	own := byDataCentre[members.options.Self.DataCentre]
+	return slices.ContainsFunc(own[:min(perDataCentre+spareCandidates, len(own))], func(candidate rankedInstance) bool { return candidate.member == nil })
+}
+
+// discovering reports whether this instance, which has just started, may not yet know the higher-ranked instances.
+func (members *Members) discovering(now clock.Moment) bool {
+	if members.firstContact > 0 {
+		return now.Since(members.firstContact) < discoveryPeriod
+	}
+	return members.hasOtherSeeds() && now.Since(members.started) < firstContactTimeout
+}
+
+// hasOtherSeeds reports whether a seed other than this instance is configured.
+func (members *Members) hasOtherSeeds() bool {
+	return slices.ContainsFunc(members.options.Seeds, func(seed netip.AddrPort) bool { return seed != members.self })
+}
+
+// ShouldStopServing reports whether this instance has been surplus for demoteAfter while it served.
+func (members *Members) ShouldStopServing() bool {
+	now := members.options.Clock.Now()
+	if members.state != Serving || members.ShouldServe() {
+		members.surplusSince = 0
+		return false
+	}
+	if members.surplusSince == 0 {
+		members.surplusSince = now
+	}
+	return now.Since(members.surplusSince) >= demoteAfter
+}
--- /dev/null
+++ b/internal/membership/ranking.go
@@ -0,0 +1,112 @@
+package membership
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+
+	"github.com/jaywheel/jaywheel/pkg/settings"
+)
+
+// Serving returns the instances that callers should use and that own backend servers, by name: as many of the serving instances of
+// each data centre as are needed. After a restart of the whole fleet more may serve for a while; the surplus is left out before it
+// has stopped serving.
+func (members *Members) Serving() []Identity {
+	byDataCentre, perDataCentre := members.candidates()
+	var serving []Identity
+	for _, candidates := range byDataCentre {
+		for _, candidate := range candidates[:min(perDataCentre, len(candidates))] {
+			if candidate.serving {
+				serving = append(serving, candidate.identity)
+			}
+		}
+	}
+	slices.SortFunc(serving, func(left, right Identity) int { return cmp.Compare(left.Name, right.Name) })
+	return serving
+}
+
+// rankedInstance is an instance that could serve.
+type rankedInstance struct {
+	identity      Identity
+	serving, seed bool
+	// member is nil for this instance itself.
+	member *Member
+}
+
+// ranking is the instances of each data centre that serve or could serve, in the order in which they should.
+type ranking struct {
+	byDataCentre map[settings.DataCentreName][]rankedInstance
+	// perDataCentre is the number of instances that should serve in each data centre.
+	perDataCentre int
+	// topRanked are the first members of each data centre, spare candidates included. toPromote are the members that should serve
+	// and do not.
+	topRanked, toPromote map[*Member]bool
+}
+
+// spareCandidates is the number of top-ranked members in each data centre beyond those that are needed: the first may just have
+// failed.
+const spareCandidates = 1
+
+// candidates returns this instance and all others that are alive, ranked by data centre, and the number that should serve in each.
+func (members *Members) candidates() (map[settings.DataCentreName][]rankedInstance, int) {
+	ranking := members.roster.currentRanking(members)
+	return ranking.byDataCentre, ranking.perDataCentre
+}
+
+func (members *Members) rank() *ranking {
+	byDataCentre := map[settings.DataCentreName][]rankedInstance{}
+	add := func(candidate rankedInstance) {
+		byDataCentre[candidate.identity.DataCentre] = append(byDataCentre[candidate.identity.DataCentre], candidate)
+	}
+	if members.state != Leaving {
+		add(rankedInstance{identity: members.options.Self, serving: members.state == Serving, seed: members.isSeed(members.self)})
+	}
+	for _, member := range members.roster.listAlive() {
+		// Joining members count, as they go to standby within a moment. Otherwise all instances that restart together would each
+		// rank themselves first, since they finish joining at the same time.
+		if member.State != Leaving {
+			add(rankedInstance{identity: member.Identity, serving: member.State == Serving, seed: members.isSeed(member.Address), member: member})
+		}
+	}
+	for _, candidates := range byDataCentre {
+		slices.SortFunc(candidates, func(left, right rankedInstance) int {
+			return cmp.Or(
+				right.identity.Size-left.identity.Size,
+				boolOrder(right.serving)-boolOrder(left.serving),
+				boolOrder(left.seed)-boolOrder(right.seed),
+				cmp.Compare(left.identity.Name, right.identity.Name),
+			)
+		})
+	}
+	dataCentres := max(len(byDataCentre), 1)
+	ranking := &ranking{
+		byDataCentre: byDataCentre, perDataCentre: (minServing + dataCentres - 1) / dataCentres, topRanked: map[*Member]bool{}, toPromote: map[*Member]bool{},
+	}
+	for _, candidates := range byDataCentre {
+		ranking.classify(candidates)
+	}
+	return ranking
+}
+
+// classify records which candidates of a data centre are top-ranked, and which of them to promote.
+func (ranking *ranking) classify(candidates []rankedInstance) {
+	for position, candidate := range candidates[:min(ranking.perDataCentre+spareCandidates, len(candidates))] {
+		if candidate.member == nil {
+			continue
+		}
+		ranking.topRanked[candidate.member] = true
+		ranking.toPromote[candidate.member] = position < ranking.perDataCentre && !candidate.serving
+	}
+}
+
+// isSeed reports whether the address is one of the seeds, through which starting instances discover the others.
+func (members *Members) isSeed(address netip.AddrPort) bool {
+	return slices.Contains(members.options.Seeds, address)
+}
+
+func boolOrder(value bool) int {
+	if value {
+		return 1
+	}
+	return 0
+}
