--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -108,12 +108,12 @@
 	// FleetStarts says that all instances start for the first time, and no caller waits.
 	FleetStarts bool
 	Clock       *clock.Clock
-	// Awake tells the time as Clock does, and also counts while the machine is suspended.
-	Awake    *clock.Clock
-	Rand     *rand.Rand
-	Servers  *backendserver.Servers
-	Registry *metrics.Registry
-	Log      zerolog.Logger
+	// BootClock tells the time as Clock does, and also counts while the machine is suspended.
+	BootClock *clock.Clock
+	Rand      *rand.Rand
+	Servers   *backendserver.Servers
+	Registry  *metrics.Registry
+	Log       zerolog.Logger
 	// Quota holds teams to their rate limits; nil when nothing does.
 	Quota *quota.Ledger
 	// Send sends a datagram to a peer.
@@ -122,17 +122,17 @@
 	SetJobs func([]sensing.Job)
 }
 
-// Feed is the part of a catalog's reader that control steers.
-type Feed struct {
+// CatalogReader is the part of a catalog's reader that control steers.
+type CatalogReader struct {
 	SetRole func(catalog.Role)
 	Follow  func(catalog.Revision)
 	Refresh func()
 	// CatchUp says that a serving peer has known the revision for a while.
 	CatchUp func(catalog.Revision)
 	// ReadStale reads what the store held some seconds ago.
-	ReadStale func()
-	Contact   func() clock.Moment
-	Failing   func() bool
+	ReadStale   func()
+	LastContact func() clock.Moment
+	Failing     func() bool
 	// PeerFailing reports whether peers did not tell their view when they were last asked.
 	PeerFailing func() bool
 }
@@ -141,7 +141,7 @@
 // to the goroutine that runs Serve.
 type Controller struct {
 	options Options
-	feed    Feed
+	feed    CatalogReader
 	table   atomic.Pointer[routing.Table]
 	book    atomic.Pointer[addressBook]
 	// tableSet is closed when a table comes into force, and replaced.
@@ -218,8 +218,8 @@
 	return controller
 }
 
-// SetFeed names the reader; it must be called before Serve.
-func (controller *Controller) SetFeed(feed Feed) {
+// SetCatalogReader names the reader; it must be called before Serve.
+func (controller *Controller) SetCatalogReader(feed CatalogReader) {
 	controller.feed = feed
 }
 
@@ -256,13 +256,13 @@
 	}
 }
 
-// ViewRead takes a new view of the catalog.
-func (controller *Controller) ViewRead(ctx context.Context, view catalog.View) error {
+// SetView takes a new view of the catalog.
+func (controller *Controller) SetView(ctx context.Context, view catalog.View) error {
 	return controller.post(ctx, func(controller *Controller) { controller.applyView(&view) })
 }
 
-// Probed takes the result of a probe, on the prober's goroutine.
-func (controller *Controller) Probed(result sensing.Result) {
+// RecordProbe takes the result of a probe, on the prober's goroutine.
+func (controller *Controller) RecordProbe(result sensing.Result) {
 	table := controller.table.Load()
 	if table == nil {
 		return
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -93,7 +93,7 @@
 			fixture := newFixture(7)
 			fixture.controller.applyView(view(3, fixtureDataCentres))
 			fixture.hear(3, membership.Serving, testCase.own)
-			fixture.controller.hear(&Message{Beat: &membership.Beat{
+			fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
 				Identity: identity(0), Incarnation: 1, Sequence: 99, State: membership.Serving, Revision: testCase.other, Version: testCase.version, Fresh: true,
 			}})
 			require.Equal(t, identity(testCase.expected).Name, fixture.controller.freshPeer().Identity.Name)
@@ -288,7 +288,7 @@
 			}
 			for number := range fixture.serving {
 				fixture.sequence++
-				fixture.controller.hear(&Message{Beat: &membership.Beat{
+				fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
 					Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: membership.Serving, Revision: 1, Version: 1,
 				}})
 			}
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -54,15 +54,15 @@
 		addresses = append(addresses, netip.MustParseAddrPort(identity(seed).Peer))
 	}
 	fixture.controller = NewController(Options{
-		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, Awake: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
+		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, BootClock: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
 		Seeds: addresses, Servers: backendserver.NewServers(&fixture.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 		Bounds: settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000}, FleetStarts: true,
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
-	fixture.controller.SetFeed(Feed{
+	fixture.controller.SetCatalogReader(CatalogReader{
 		SetRole: func(role catalog.Role) { fixture.leads = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.follows = revision },
 		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
-		Contact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
+		LastContact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
 	})
 	return fixture
@@ -77,7 +77,7 @@
 // hear lets the instance hear another one.
 func (fixture *fixture) hear(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
-	fixture.controller.hear(&Message{Beat: &membership.Beat{
+	fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
 		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, Fresh: true,
 	}})
 }
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -100,7 +100,7 @@
 			version = controller.view.Configuration.Version
 		}
 	}
-	contact := controller.feed.Contact()
+	contact := controller.feed.LastContact()
 	fresh := controller.role != catalog.RoleFollow && !controller.feed.Failing() && contact > 0 && now.Since(contact) < freshWithin
 	controller.members.SetCatalog(revision, version, fresh)
 }
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -16,8 +16,8 @@
 // readingsMost is the number of readings in one datagram: with some 14 bytes each they fit into one packet.
 const readingsMost = 80
 
-// ErrMessage says that a datagram makes no sense.
-var ErrMessage = errors.New("message not understood")
+// ErrInvalidMessage says that a datagram makes no sense.
+var ErrInvalidMessage = errors.New("message not understood")
 
 // TargetKey stands for a backend server's name: a hash of it, since names would make up most of a datagram.
 type TargetKey uint32
@@ -97,10 +97,10 @@
 
 // Message is the one datagram between instances: a beat, readings, or requests of teams that were let in.
 type Message struct {
-	_        struct{} `cbor:",toarray"`
-	Beat     *membership.Beat
-	Readings []SharedReading
-	Quota    *quota.Report
+	_         struct{} `cbor:",toarray"`
+	Heartbeat *membership.Beat
+	Readings  []SharedReading
+	Quota     *quota.Report
 }
 
 // decoding is strict: what doesn't fit the message exactly was not written by an instance of this release.
@@ -125,10 +125,10 @@
 func Decode(text []byte) (*Message, error) {
 	var message Message
 	if err := decoding.Unmarshal(text, &message); err != nil {
-		return nil, errors.Wrapf(ErrMessage, "%v", err)
+		return nil, errors.Wrapf(ErrInvalidMessage, "%v", err)
 	}
-	if message.Beat == nil && len(message.Readings) == 0 && message.Quota == nil {
-		return nil, errors.Wrap(ErrMessage, "neither a beat nor readings nor a report")
+	if message.Heartbeat == nil && len(message.Readings) == 0 && message.Quota == nil {
+		return nil, errors.Wrap(ErrInvalidMessage, "neither a beat nor readings nor a report")
 	}
 	return &message, nil
 }
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -26,7 +26,7 @@
 
 // Anyone who reaches the port can send anything. What makes no sense must neither be believed nor end the process.
 func FuzzDecode(f *testing.F) {
-	text, err := Encode(&Message{Beat: &membership.Beat{Identity: membership.Identity{Name: "entry-1", Peer: "10.0.0.1:7000"}}})
+	text, err := Encode(&Message{Heartbeat: &membership.Beat{Identity: membership.Identity{Name: "entry-1", Peer: "10.0.0.1:7000"}}})
 	require.NoError(f, err)
 	f.Add(text)
 	f.Add([]byte{0x82, 0xf6, 0x80})
@@ -38,10 +38,10 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		message, err := Decode(text)
 		if err != nil {
-			require.ErrorIs(t, err, ErrMessage)
+			require.ErrorIs(t, err, ErrInvalidMessage)
 			return
 		}
-		require.True(t, message.Beat != nil || len(message.Readings) > 0)
+		require.True(t, message.Heartbeat != nil || len(message.Readings) > 0)
 		for index := range message.Readings {
 			reading := message.Readings[index].reading(1000)
 			for _, figure := range []float64{float64(reading.SteadyFor), float64(reading.Period), float64(reading.ColdFor), reading.Slowdown} {
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -75,15 +75,15 @@
 	node.places = nil
 	node.controller = NewController(Options{
 		Self: identity(node.number), Incarnation: membership.Incarnation(fleet.random.Uint64()), Clock: &fleet.clock.Clock,
-		Awake: &fleet.clock.Clock, Rand: rand.New(rand.NewPCG(fleet.random.Uint64(), 1)), Seeds: seeds,
+		BootClock: &fleet.clock.Clock, Rand: rand.New(rand.NewPCG(fleet.random.Uint64(), 1)), Seeds: seeds,
 		Servers: backendserver.NewServers(&fleet.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 		Bounds:  settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000},
 		Send:    func(to netip.AddrPort, text []byte) { fleet.send(node.number, to, text) },
 		SetJobs: func(jobs []sensing.Job) { node.jobs = jobs },
 	})
-	node.controller.SetFeed(Feed{
+	node.controller.SetCatalogReader(CatalogReader{
 		SetRole: func(catalog.Role) {}, Follow: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
-		Contact: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
+		LastContact: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
 	})
 	node.controller.applyView(coldView(ownedTargets, fixtureDataCentres))
 }
--- a/internal/fleet/package.go
+++ b/internal/fleet/package.go
@@ -10,6 +10,6 @@
 //
 //	controller := fleet.NewController(fleet.Options{...})
 //	go controller.Serve(ctx)
-//	controller.ViewRead(ctx, view)
+//	controller.SetView(ctx, view)
 //	table := controller.Table()
 package fleet
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -22,7 +22,7 @@
 func (controller *Controller) sendBeats() {
 	for _, address := range controller.members.Due() {
 		beat := controller.members.Beat(address)
-		controller.send(address, &Message{Beat: &beat})
+		controller.send(address, &Message{Heartbeat: &beat})
 	}
 }
 
@@ -38,7 +38,7 @@
 // hear takes a peer's message.
 func (controller *Controller) hear(message *Message) {
 	now := controller.options.Clock.Now()
-	if message.Beat != nil && controller.members.Hear(*message.Beat) {
+	if message.Heartbeat != nil && controller.members.Hear(*message.Heartbeat) {
 		controller.heardNews = true
 	}
 	if message.Quota != nil {
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -164,8 +164,8 @@
 	return min(float64(heard)/float64(serving), controller.members.Sight())
 }
 
-// Keys tells what the API keys of the table in force are worth.
-func (controller *Controller) Keys() team.KeyStanding {
+// KeyStatus tells what the API keys of the table in force are worth.
+func (controller *Controller) KeyStatus() team.KeyStanding {
 	return team.KeyStanding(controller.teams.keys.Load())
 }
 
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -95,12 +95,12 @@
 // Guards against an unknown key that is refused for good by an instance that has not heard of the newest configuration.
 func TestKeysAreUnsureUntilTheViewIsFresh(t *testing.T) {
 	fixture := newStandby(t, 20, 12)
-	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
+	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 	fixture.pass(currentFor + 3*tickStandby)
 	fixture.controller.tick()
-	require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
+	require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
 	fixture.second()
-	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
+	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 }
 
 // Guards against revoked keys that work for ever at an instance which hears nobody, where operators don't want that.
@@ -119,10 +119,10 @@
 			fixture.controller.options.Bounds = settings.GatewayBounds{ProbesPerSecond: 60, FailClosed: testCase.closed, RevokeWithin: 5 * clock.Second}
 			fixture.pass(4 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
+			require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
 			fixture.pass(2 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, testCase.expected, fixture.controller.Keys())
+			require.Equal(t, testCase.expected, fixture.controller.KeyStatus())
 		})
 	}
 }
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -6,7 +6,7 @@
 )
 
 func awakeSkew(options Options) clock.Milliseconds {
-	return clock.Milliseconds(options.Awake.Now()) - clock.Milliseconds(options.Clock.Now())
+	return clock.Milliseconds(options.BootClock.Now()) - clock.Milliseconds(options.Clock.Now())
 }
 
 // advanceTick brings the next tick forward when there is news, and reports whether it did. Hundreds of instances that start together
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -17,8 +17,8 @@
 // errNoView says that this instance has read nothing yet.
 var errNoView = errors.New("nothing has been read yet")
 
-// Update returns what this instance has read after a revision, for another one that can't read it itself.
-func (controller *Controller) Update(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
+// UpdateSince returns what this instance has read after a revision, for another one that can't read it itself.
+func (controller *Controller) UpdateSince(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
 	update, err := ask(ctx, controller, func(controller *Controller) *catalog.Update {
 		if controller.view == nil {
 			return nil
@@ -50,8 +50,8 @@
 // updateTimeout bounds asking a peer for what has changed since a revision: a few backend servers, mostly.
 const updateTimeout = 400 * clock.Millisecond
 
-// FromPeer has the instance asked whose view is worth asking for, by the given call. One that does not answer is left alone for a while.
-func (controller *Controller) FromPeer(
+// FetchFromPeer has the instance asked whose view is worth asking for, by the given call. One that does not answer is left alone for a while.
+func (controller *Controller) FetchFromPeer(
 	ctx context.Context, after catalog.Revision, read func(context.Context, netip.AddrPort, catalog.Revision) (catalog.Update, error),
 ) (catalog.Update, error) {
 	address, err := controller.freshAddress(ctx)
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -54,19 +54,19 @@
 	own := &clock.Clock{Now: func() clock.Moment { return process.time(fleet.clock.Now()) }}
 	registry := metrics.NewRegistry()
 	process.controller = NewController(Options{
-		Self: machine.identity, Incarnation: membership.Incarnation(random.Uint64()), Clock: own, Awake: fleet.clock,
+		Self: machine.identity, Incarnation: membership.Incarnation(random.Uint64()), Clock: own, BootClock: fleet.clock,
 		Rand: rand.New(rand.NewPCG(random.Uint64(), 1)), Seeds: fleet.seeds(), Servers: backendserver.NewServers(own), Registry: registry,
 		Log: zerolog.Nop(), Bounds: settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000}, FleetStarts: first,
 		Send:    func(to netip.AddrPort, text []byte) { fleet.send(machine, to, text) },
 		SetJobs: func(jobs []sensing.Job) { process.jobs = jobs },
 	})
 	reader := catalog.NewReader(catalog.Options{
-		Source: fleet.store.source(process), FromPeer: process.fromPeer, Publish: process.controller.ViewRead,
+		Source: fleet.store.source(process), FromPeer: process.fromPeer, Publish: process.controller.SetView,
 		Clock: own, Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: rand.New(rand.NewPCG(random.Uint64(), 2)).Float64,
 	})
-	process.controller.SetFeed(Feed{
+	process.controller.SetCatalogReader(CatalogReader{
 		SetRole: reader.SetRole, Follow: reader.Follow, Refresh: reader.Refresh, CatchUp: reader.CatchUp, ReadStale: reader.ReadStale,
-		Contact: reader.Contact, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
+		LastContact: reader.Contact, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
@@ -134,7 +134,7 @@
 	if err := process.pass(ctx, callTime); err != nil {
 		return catalog.Update{}, err
 	}
-	return process.controller.FromPeer(ctx, after, process.askPeer)
+	return process.controller.FetchFromPeer(ctx, after, process.askPeer)
 }
 
 func (process *process) askPeer(ctx context.Context, address netip.AddrPort, after catalog.Revision) (catalog.Update, error) {
@@ -149,7 +149,7 @@
 	if peer == nil {
 		return catalog.Update{}, errNoAnswer
 	}
-	update, err := peer.controller.Update(ctx, after)
+	update, err := peer.controller.UpdateSince(ctx, after)
 	if passed := process.pass(ctx, callTime); passed != nil {
 		return catalog.Update{}, passed
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 	events := &gateway.registry.Events
 	gateway.prober = sensing.NewProber(sensing.Options{
 		Send: gateway.servers.Send, Read: gateway.options.Platform.ReadProbe, Clock: gateway.clock, Events: events,
-		Deliver: func(result sensing.Result) { gateway.controller.Probed(result) },
+		Deliver: func(result sensing.Result) { gateway.controller.RecordProbe(result) },
 	})
 	gateway.datagrams = instance.NewDatagrams(instance.DatagramOptions{
 		Address: file.PeerAddress, Events: events, Deliver: func(datagram []byte) { gateway.controller.Receive(datagram) },
@@ -138,22 +138,22 @@
 			Size: int(file.Cores * thousandths),
 		},
 		Incarnation: membership.Incarnation(rand.Uint64()),
-		Seeds:       file.SeedAddresses(), Bounds: file.Bounds, FleetStarts: file.FleetStarts, Clock: gateway.clock, Awake: clock.NewAwake(),
+		Seeds:       file.SeedAddresses(), Bounds: file.Bounds, FleetStarts: file.FleetStarts, Clock: gateway.clock, BootClock: clock.NewAwake(),
 		Rand:    rand.New(rand.NewPCG(gateway.options.Seed, 0)),
 		Servers: gateway.servers, Registry: gateway.registry, Log: gateway.options.Log, Quota: gateway.quota,
 		Send: gateway.datagrams.Send, SetJobs: gateway.prober.Set,
 	})
 	peers := &peerReader{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	gateway.reader = catalog.NewReader(catalog.Options{
-		Source: gateway.options.Platform.Source, Publish: gateway.controller.ViewRead,
+		Source: gateway.options.Platform.Source, Publish: gateway.controller.SetView,
 		FromPeer: func(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
-			return gateway.controller.FromPeer(ctx, after, peers.read)
+			return gateway.controller.FetchFromPeer(ctx, after, peers.read)
 		},
 		Clock: gateway.clock, Events: events, Log: gateway.options.Log, Jitter: rand.Float64,
 	})
-	gateway.controller.SetFeed(fleet.Feed{
+	gateway.controller.SetCatalogReader(fleet.CatalogReader{
 		SetRole: gateway.reader.SetRole, Follow: gateway.reader.Follow, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
-		ReadStale: gateway.reader.ReadStale, Contact: gateway.reader.Contact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
+		ReadStale: gateway.reader.ReadStale, LastContact: gateway.reader.Contact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
 	})
 }
 
@@ -166,7 +166,7 @@
 	}
 	gateway.handler = caller.NewHandler(caller.Options{
 		Table: gateway.controller.Table, AwaitTable: gateway.controller.AwaitTable, Servers: gateway.servers, Registry: gateway.registry, Traces: gateway.traces,
-		Quota: gateway.quota, Keys: gateway.controller.Keys,
+		Quota: gateway.quota, Keys: gateway.controller.KeyStatus,
 		Clock: gateway.clock, Instance: file.Instance, StallMost: stallMost, Dialect: gateway.options.Platform.Dialect,
 		Decided: newDecisionLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
 	})
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -27,7 +27,7 @@
 		http.Error(writer, afterField+": not a revision", http.StatusBadRequest)
 		return
 	}
-	update, err := gateway.controller.Update(request.Context(), catalog.Revision(after))
+	update, err := gateway.controller.UpdateSince(request.Context(), catalog.Revision(after))
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusServiceUnavailable)
 		return
