--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -7,57 +7,58 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// addressBook is what address answers come from.
+// addressBook is the content of address answers.
 type addressBook struct {
-	all  []string
-	kept clock.Milliseconds
+	addresses []string
+	ttl       clock.Milliseconds
 }
 
-// answerKept is how long callers may keep an address answer. An instance that dies is out of answers after a second, so
-// that a caller is at the wrong address for two seconds at most.
-const answerKept = 1500 * clock.Millisecond
+// addressTTL is how long callers may keep an address answer. An instance that dies is removed from answers after a second, so
+// that a caller uses a wrong address for two seconds at most.
+const addressTTL = 1500 * clock.Millisecond
 
-// answerKeptStarting is how long an answer may be kept that was given before anyone serves.
-const answerKeptStarting = 400 * clock.Millisecond
+// startingAddressTTL is how long callers may keep an answer that was given before any instance serves.
+const startingAddressTTL = 400 * clock.Millisecond
 
-// named are the serving instances that callers are told of. One whose data centre is out owns no server that takes work, and may fill
-// only what the owners of the others leave to it: its callers would wait and be refused while there is room for those of the
-// rest. It is named only if there is no other.
-func (controller *Controller) named() []membership.Identity {
+// advertised returns the serving instances that address answers contain. An instance whose data centre is out owns no server
+// that accepts requests, and may use only the permits that the owners of the other servers leave free: its callers would wait
+// and be refused while there are free permits for callers of the other instances. It is advertised only if there is no other
+// instance.
+func (controller *Controller) advertised() []membership.Identity {
 	if controller.view == nil {
 		return controller.serving
 	}
-	named := make([]membership.Identity, 0, len(controller.serving))
+	advertised := make([]membership.Identity, 0, len(controller.serving))
 	for _, identity := range controller.serving {
 		if !controller.view.IsOut(identity.DataCentre) {
-			named = append(named, identity)
+			advertised = append(advertised, identity)
 		}
 	}
-	if len(named) == 0 {
+	if len(advertised) == 0 {
 		return controller.serving
 	}
-	return named
+	return advertised
 }
 
 func (controller *Controller) publishAddresses() {
-	book := &addressBook{kept: min(answerKept, controller.options.Bounds.AnswerKeptMost)}
-	for _, identity := range controller.named() {
-		book.all = append(book.all, identity.Caller)
+	book := &addressBook{ttl: min(addressTTL, controller.options.Bounds.AnswerKeptMost)}
+	for _, identity := range controller.advertised() {
+		book.addresses = append(book.addresses, identity.Caller)
 	}
-	if len(book.all) == 0 {
-		// Right after all have started nobody serves yet; whoever is there and knows the routes is better than no answer.
-		book.all = controller.members.Present()
-		book.kept = min(answerKeptStarting, book.kept)
+	if len(book.addresses) == 0 {
+		// Right after a whole fleet has started no instance serves yet; any present instance with routes is better than no answer.
+		book.addresses = controller.members.Present()
+		book.ttl = min(startingAddressTTL, book.ttl)
 	}
-	slices.Sort(book.all)
+	slices.Sort(book.addresses)
 	controller.book.Store(book)
 }
 
-// Addresses returns where callers should connect, and how long they may keep the answer.
+// Addresses returns the addresses to which callers should connect, and how long they may keep the answer.
 func (controller *Controller) Addresses() ([]string, clock.Milliseconds) {
 	book := controller.book.Load()
 	if book == nil {
 		return nil, 0
 	}
-	return book.all, book.kept
+	return book.addresses, book.ttl
 }
--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -35,10 +35,10 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 5))
 			newBudget := func() *service.RetryBudget {
-				return service.NewSharedRetryBudget(share*budgetMargin, testCase.slack/budgetShares)
+				return service.NewSharedRetryBudget(share*retryBudgetMargin, testCase.slack/retryBudgetShares)
 			}
 			budgets := []*service.RetryBudget{newBudget(), newBudget(), newBudget()}
-			var asked, again []clock.Moment
+			var asked, repeated []clock.Moment
 			nextRestart := clock.Moment(testCase.restarts)
 			for now := clock.Moment(0); now < clock.Moment(length); now = now.Add(clock.Milliseconds(random.ExpFloat64() * 1000 / testCase.perSecond)) {
 				if testCase.restarts > 0 && now >= nextRestart {
@@ -51,14 +51,14 @@
 				// For ten seconds in twenty all requests are sent as often as may be, after savings have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
 				for failing && budget.Spend() {
-					again = append(again, now)
+					repeated = append(repeated, now)
 				}
 			}
-			for _, from := range again {
-				requests, retries := within(asked, from, window), within(again, from, window)
+			for _, from := range repeated {
+				requests, retries := within(asked, from, window), within(repeated, from, window)
 				require.LessOrEqual(t, float64(retries), share*float64(requests)+float64(testCase.slack))
 			}
-			require.Greater(t, float64(len(again)), 0.4*share*float64(len(asked)), "retries that could have saved requests were not sent")
+			require.Greater(t, float64(len(repeated)), 0.4*share*float64(len(asked)), "retries that could have saved requests were not sent")
 		})
 	}
 }
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -23,164 +23,171 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Times of control.
+// Intervals and timeouts of the control loop.
 const (
-	// tickServing is how often an instance that serves or has just started looks after waiting requests and its peers, tickStandby
-	// how often the others do.
-	tickServing = 10 * clock.Millisecond
-	tickStandby = 50 * clock.Millisecond
-	// shareEvery is how often readings are told to the other serving instances: a tenth of a spell later they hold
-	// nearly as long.
-	shareEvery = 25 * clock.Millisecond
-	// worthTelling is how long a reading must still hold to be told.
-	worthTelling = 12 * clock.Millisecond
-	// probeLearning is the pause between probes of a target whose cadence is not known yet.
-	probeLearning = 30 * clock.Millisecond
-	// probeBusy and probeIdle are the pauses between probes of a target whose service is in use or not, probeUnused
-	// that of a target which gets nothing at present.
-	probeBusy   = 45 * clock.Millisecond
-	probeIdle   = 400 * clock.Millisecond
-	probeUnused = 250 * clock.Millisecond
-	// busyWithin is how recently a service must have been used to count as in use.
-	busyWithin = 2 * clock.Second
-	// settlesIn is how long an instance that has begun to serve probes only for services that callers ask it for. When a whole fleet
-	// is back at once, most of its instances serve for a moment, since nobody knows of the others yet; each probing every backend
-	// server, they would open hundreds of thousands of connections, and small ones would have no processor left for callers.
-	settlesIn = clock.Second
-	// unledFor is how long an instance that is the next to serve waits for a serving one with a fresh view before it reads for
-	// itself. It is more than what passes until another one has taken over, and less than what binds those who read. unledLast is how long
-	// all others wait: they are told what it reads, and hundreds of calls to a store that is away serve nobody.
-	unledFor  = 600 * clock.Millisecond
-	unledLast = 12 * clock.Second
-	// silentLead is how long all serving instances with a fresh view may be silent before one that stands by reads for itself. They
-	// speak to it once a second each; that they are gone is known only when they were silent for 3.2 s, and a server that leaves is
-	// to get nothing after 2 s.
-	silentLead = 1500 * clock.Millisecond
-	// startAlone is how long an instance waits for others to tell their view before it reads the store itself, when a whole
-	// fleet starts for the first time. Seeds read at once, but there may be no configuration yet, and a view without one is of no
-	// use to others; callers come some seconds later.
-	startAlone = 3 * clock.Second
-	// restartAlone is how long an instance that was restarted waits for a fresh view of one that serves before it reads the store
-	// for want of it, if it is the next to serve, and restartAloneLast how long any other does. Callers that come to it meanwhile
-	// are served by what the store held some seconds ago.
-	restartAlone     = clock.Second
-	restartAloneLast = 2500 * clock.Millisecond
-	// awaitTable is how long a request waits for an instance that has no routes yet, and staleReadEvery the least time between two readings of
-	// the store for the sake of such requests.
-	awaitTable     = 150 * clock.Millisecond
-	staleReadEvery = 500 * clock.Millisecond
-	// helpEvery is the least time between two readings of a peer's view while the store turns this instance away.
-	helpEvery = 200 * clock.Millisecond
-	// followEvery is the least time between two readings of a peer's view for the sake of backend servers alone. An
-	// instance that stands by sends next to nothing, and changes come in bunches.
-	followEvery = clock.Second
-	// frozenFor is the jump between two clocks that shows that the machine stood still.
-	frozenFor = 300 * clock.Millisecond
-	// behindFor is how long a peer may know a newer revision before this instance reads anew: its watch has gone silent.
-	behindFor = 700 * clock.Millisecond
-	// versionBehindFor is that time for a newer configuration, in which keys may have been revoked. It is longer than the pause that a
-	// reader makes after changes.
-	versionBehindFor = 380 * clock.Millisecond
+	// servingTickInterval is the interval at which an instance that serves or has just started checks its queued requests and
+	// its peers, standbyTickInterval that of all other instances.
+	servingTickInterval = 10 * clock.Millisecond
+	standbyTickInterval = 50 * clock.Millisecond
+	// readingShareInterval is the interval at which load readings are sent to the other serving instances. It is a tenth of a
+	// slowdown interval, so that a reading stays valid there for nearly as long as at its owner.
+	readingShareInterval = 25 * clock.Millisecond
+	// minSharedValidity is the shortest remaining validity with which a load reading is still sent.
+	minSharedValidity = 12 * clock.Millisecond
+	// learningProbePause is the pause between probes of a target whose slowdown cycle is not known yet.
+	learningProbePause = 30 * clock.Millisecond
+	// busyProbePause and idleProbePause are the pauses between probes of a target whose service is in use or idle,
+	// unusedProbePause that of a target which receives no requests at present.
+	busyProbePause   = 45 * clock.Millisecond
+	idleProbePause   = 400 * clock.Millisecond
+	unusedProbePause = 250 * clock.Millisecond
+	// serviceBusyWindow is how recently a service must have been used to count as in use.
+	serviceBusyWindow = 2 * clock.Second
+	// unrequestedProbeDelay is how long an instance that has begun to serve probes only the targets of services that callers
+	// request. When a whole fleet restarts at once, most of its instances serve for a moment, because none of them knows of
+	// the others yet. If each probed every backend server, they would open hundreds of thousands of connections, and small
+	// instances would have no processor time left for callers.
+	unrequestedProbeDelay = clock.Second
+	// leaderlessTimeoutNext is how long an instance that is next to serve waits for a serving instance with a fresh view
+	// before it reads the store itself. It is longer than a takeover by another instance takes, and shorter than the time
+	// limits that apply to instances that read the store. leaderlessTimeoutOthers is the timeout of all other instances: they
+	// receive the view that the next one reads, and hundreds of calls to a store that is down help no caller.
+	leaderlessTimeoutNext   = 600 * clock.Millisecond
+	leaderlessTimeoutOthers = 12 * clock.Second
+	// silentLeadersTimeout is how long all serving instances with a fresh view may be silent before a standby instance reads
+	// the store itself. Each of them sends it a message once a second. They count as lost only after 3.2 s of silence, but a
+	// server that leaves must receive no requests after 2 s.
+	silentLeadersTimeout = 1500 * clock.Millisecond
+	// firstStartReadDelay is how long an instance waits for a view of another instance before it reads the store itself, when
+	// a whole fleet starts for the first time. Seeds read at once, but there may be no configuration yet, and a view without a
+	// configuration is of no use to other instances. Callers arrive some seconds later.
+	firstStartReadDelay = 3 * clock.Second
+	// restartReadDelayNext is how long a restarted instance that is next to serve waits for a fresh view of a serving instance
+	// before it reads the store itself, restartReadDelayOthers is the delay of any other restarted instance. Callers that
+	// arrive meanwhile are served with the state that the store held some seconds ago.
+	restartReadDelayNext   = clock.Second
+	restartReadDelayOthers = 2500 * clock.Millisecond
+	// tableWaitTimeout is how long a request waits at an instance that has no routes yet, staleReadInterval the minimum
+	// interval between two stale reads of the store on behalf of such requests.
+	tableWaitTimeout  = 150 * clock.Millisecond
+	staleReadInterval = 500 * clock.Millisecond
+	// storeFailureFollowInterval is the minimum interval between two reads of a peer's view while the store refuses the calls
+	// of this instance.
+	storeFailureFollowInterval = 200 * clock.Millisecond
+	// followInterval is the minimum interval between two reads of a peer's view for changes of backend servers only. A standby
+	// instance sends next to no requests, and changes come in bursts.
+	followInterval = clock.Second
+	// suspendThreshold is the difference in time passed on the two clocks from which the machine counts as having been
+	// suspended.
+	suspendThreshold = 300 * clock.Millisecond
+	// behindTimeout is how long a peer may have a newer revision before this instance catches up: its own watch has gone
+	// silent.
+	behindTimeout = 700 * clock.Millisecond
+	// versionBehindTimeout is the same for a newer configuration, in which keys may have been revoked. It is longer than the
+	// pause that a reader makes after changes.
+	versionBehindTimeout = 380 * clock.Millisecond
 )
 
-// coldShareMost is how many times the part of the fleet that is seen an instance may give cold servers of what they bear. When a fleet
-// falls apart, each part has an owner for every server, and the parts don't hear each other; but what they see of the fleet adds up to
-// all of it at most. Together they stay below 1.5 times 0.8 of what a server bears, and one request more for each part; up to a
-// third of the fleet may be gone before servers warm up more slowly for it.
-const coldShareMost = 1.5
+// maxColdShareFactor is the factor that, multiplied by the visible fraction of the fleet, gives the share of a cold server's
+// limit that this instance may use. After a network partition each part of the fleet has an owner for every server, and the
+// parts cannot reach each other, but their visible fractions add up to at most the whole fleet. Together they stay below 1.5
+// times 0.8 of the limit plus one request for each part. Up to a third of the fleet may be gone before servers warm up more
+// slowly because of it.
+const maxColdShareFactor = 1.5
 
 // inboxLength is how many events may wait for the control goroutine.
 const inboxLength = 256
 
-// Events of control.
+// Names of the events that the control loop counts.
 const (
 	EventInboxFull = "control.inboxFull"
 	EventFrozen    = "control.frozen"
 	EventBehind    = "control.behind"
 )
 
-// Options are what a Controller is made from.
+// Options configure a Controller.
 type Options struct {
 	Self        membership.Identity
 	Incarnation membership.Incarnation
 	Seeds       []netip.AddrPort
 	Bounds      settings.GatewayBounds
-	// FleetStarts says that all instances start for the first time, and no caller waits.
+	// FleetStarts reports that all instances start for the first time and no caller waits.
 	FleetStarts bool
 	Clock       *clock.Clock
-	// BootClock tells the time as Clock does, and also counts while the machine is suspended.
+	// BootClock reads like Clock, and also counts the time for which the machine is suspended.
 	BootClock *clock.Clock
 	Rand      *rand.Rand
 	Servers   *backendserver.Servers
 	Registry  *metrics.Registry
 	Log       zerolog.Logger
-	// Quota holds teams to their rate limits; nil when nothing does.
+	// Quota enforces the rate limits of teams; nil if there are none.
 	Quota *quota.Ledger
 	// Send sends a datagram to a peer.
 	Send func(netip.AddrPort, []byte)
-	// SetJobs tells the prober what to probe.
+	// SetJobs sets the jobs of the prober.
 	SetJobs func([]sensing.Job)
 }
 
-// CatalogReader is the part of a catalog's reader that control steers.
+// CatalogReader are the functions of the catalog reader that the control loop calls.
 type CatalogReader struct {
 	SetRole func(catalog.Role)
 	Follow  func(catalog.Revision)
 	Refresh func()
-	// CatchUp says that a serving peer has known the revision for a while.
+	// CatchUp has the reader catch up with a revision that a serving peer has had for a while.
 	CatchUp func(catalog.Revision)
-	// ReadStale reads what the store held some seconds ago.
+	// ReadStale reads the state that the store held some seconds ago.
 	ReadStale   func()
 	LastContact func() clock.Moment
 	Failing     func() bool
-	// PeerFailing reports whether peers did not tell their view when they were last asked.
+	// PeerFailing reports whether peers failed to deliver their view when they were last asked.
 	PeerFailing func() bool
 }
 
-// Controller owns an instance's control state. Its methods are safe for concurrent use; its fields below the inbox belong
+// Controller owns the control state of an instance. Its methods are safe for concurrent use; the fields from members on belong
 // to the goroutine that runs Serve.
 type Controller struct {
-	options Options
-	feed    CatalogReader
-	table   atomic.Pointer[routing.Table]
-	book    atomic.Pointer[addressBook]
-	// tableSet is closed when a table comes into force, and replaced.
+	options       Options
+	catalogReader CatalogReader
+	table         atomic.Pointer[routing.Table]
+	book          atomic.Pointer[addressBook]
+	// tableSet is closed and replaced when a table comes into force.
 	tableSet atomic.Pointer[chan struct{}]
 	ready    atomic.Bool
 	inbox    chan event
-	// staleMutex guards nextStaleRead, before which no request has the store read.
+	// staleMutex guards nextStaleRead, the earliest time at which a request may trigger the next stale read.
 	staleMutex    sync.Mutex
 	nextStaleRead clock.Moment
 
-	// latest are the newest readings of own targets, to be told to peers.
-	latestMutex sync.Mutex
-	latest      map[settings.TargetName]ownReading
+	// latestReadings are the newest readings of owned targets that have not been sent to peers yet, guarded by latestMutex.
+	latestMutex    sync.Mutex
+	latestReadings map[settings.TargetName]ownReading
 
-	members   *membership.Members
-	view      *catalog.View
-	viewAt    clock.Moment
-	history   *catalog.History
-	role      catalog.Role
-	unledFrom clock.Moment
-	started   clock.Moment
-	// servesFrom is when this instance last began to serve.
-	servesFrom clock.Moment
-	isSeed     bool
-	nextHelp   clock.Moment
-	services   map[settings.ServiceName]*serviceState
-	targets    map[TargetKey]targetRef
-	known      map[settings.TargetName]catalog.Server
-	owners     map[settings.TargetName]settings.InstanceName
-	// serving are the instances that owners and addresses were last worked out for.
-	serving    []membership.Identity
-	nextShare  clock.Moment
-	teams      teams
-	nextClean  clock.Moment
-	behindFrom clock.Moment
-	awakeSkew  clock.Milliseconds
-	// heardNews says that peers told something since the last tick that others are to hear of.
-	heardNews bool
-	nextTick  clock.Moment
+	members         *membership.Members
+	view            *catalog.View
+	viewAppliedAt   clock.Moment
+	history         *catalog.History
+	role            catalog.Role
+	leaderlessSince clock.Moment
+	started         clock.Moment
+	// servingSince is when this instance last began to serve.
+	servingSince           clock.Moment
+	isSeed                 bool
+	nextStoreFailureFollow clock.Moment
+	services               map[settings.ServiceName]*serviceState
+	targets                map[TargetKey]targetRef
+	knownServers           map[settings.TargetName]catalog.Server
+	owners                 map[settings.TargetName]settings.InstanceName
+	// serving are the instances for which owners and addresses were last computed.
+	serving          []membership.Identity
+	nextReadingShare clock.Moment
+	teams            teamState
+	nextIdleClose    clock.Moment
+	behindSince      clock.Moment
+	bootClockSkew    clock.Milliseconds
+	// membershipDirty reports that heartbeats since the last tick brought changes that have to be passed on to other
+	// instances.
+	membershipDirty bool
+	nextTick        clock.Moment
 }
 
 type targetRef struct {
@@ -188,7 +195,7 @@
 	name    settings.TargetName
 }
 
-// serviceState is what stays of a service while configurations come and go.
+// serviceState is the state of a service that is kept while configurations change.
 type serviceState struct {
 	scheduler *service.Scheduler
 	budget    *service.RetryBudget
@@ -196,21 +203,21 @@
 	limits    catalog.ServiceLimits
 }
 
-// NewController returns a controller that knows nothing yet.
+// NewController returns a controller that has no view of the catalog yet.
 func NewController(options Options) *Controller {
 	controller := &Controller{
-		options: options,
-		inbox:   make(chan event, inboxLength),
-		latest:  map[settings.TargetName]ownReading{},
+		options:        options,
+		inbox:          make(chan event, inboxLength),
+		latestReadings: map[settings.TargetName]ownReading{},
 		members: membership.New(membership.Options{
 			Self: options.Self, Incarnation: options.Incarnation, Seeds: options.Seeds, Clock: options.Clock,
 		}),
-		history:   catalog.NewHistory(),
-		teams:     teams{reporters: map[membership.Incarnation]clock.Moment{}},
-		services:  map[settings.ServiceName]*serviceState{},
-		targets:   map[TargetKey]targetRef{},
-		known:     map[settings.TargetName]catalog.Server{},
-		awakeSkew: awakeSkew(options), started: options.Clock.Now(),
+		history:       catalog.NewHistory(),
+		teams:         teamState{reporters: map[membership.Incarnation]clock.Moment{}},
+		services:      map[settings.ServiceName]*serviceState{},
+		targets:       map[TargetKey]targetRef{},
+		knownServers:  map[settings.TargetName]catalog.Server{},
+		bootClockSkew: bootClockSkew(options), started: options.Clock.Now(),
 		isSeed: slices.ContainsFunc(options.Seeds, func(seed netip.AddrPort) bool { return seed.String() == options.Self.Peer }),
 	}
 	tableSet := make(chan struct{})
@@ -218,9 +225,9 @@
 	return controller
 }
 
-// SetCatalogReader names the reader; it must be called before Serve.
-func (controller *Controller) SetCatalogReader(feed CatalogReader) {
-	controller.feed = feed
+// SetCatalogReader sets the catalog reader; it must be called before Serve.
+func (controller *Controller) SetCatalogReader(catalogReader CatalogReader) {
+	controller.catalogReader = catalogReader
 }
 
 // Serve runs the control goroutine until the context ends.
@@ -234,7 +241,7 @@
 		case arrived := <-controller.inbox:
 			arrived(controller)
 			if controller.advanceTick() {
-				timer.Reset(tickServing.Duration())
+				timer.Reset(servingTickInterval.Duration())
 			}
 		case <-timer.C:
 			controller.tick()
@@ -243,10 +250,10 @@
 	}
 }
 
-// event is something that reaches the control goroutine.
+// event is work that the control goroutine executes.
 type event func(*Controller)
 
-// post waits until the event is taken.
+// post waits until the inbox accepts the event.
 func (controller *Controller) post(ctx context.Context, arrived event) error {
 	select {
 	case controller.inbox <- arrived:
@@ -256,12 +263,12 @@
 	}
 }
 
-// SetView takes a new view of the catalog.
+// SetView passes a newly read view of the catalog to the control goroutine. The error is that of the context.
 func (controller *Controller) SetView(ctx context.Context, view catalog.View) error {
 	return controller.post(ctx, func(controller *Controller) { controller.applyView(&view) })
 }
 
-// RecordProbe takes the result of a probe, on the prober's goroutine.
+// RecordProbe takes in the result of a probe. It runs on the goroutine of the prober.
 func (controller *Controller) RecordProbe(result sensing.Result) {
 	table := controller.table.Load()
 	if table == nil {
@@ -278,11 +285,11 @@
 	controller.latestMutex.Lock()
 	defer controller.latestMutex.Unlock()
 	if result.Err == nil || result.Down {
-		controller.latest[result.Target] = ownReading{reading: result.Health.Reading, down: result.Down}
+		controller.latestReadings[result.Target] = ownReading{reading: result.Health.Reading, down: result.Down}
 	}
 }
 
-// SetSettings takes settings that may change while the instance runs.
+// SetSettings applies the settings that may change while the instance runs.
 func (controller *Controller) SetSettings(ctx context.Context, seeds []netip.AddrPort, bounds settings.GatewayBounds) error {
 	return controller.post(ctx, func(controller *Controller) {
 		controller.options.Bounds = bounds
@@ -291,12 +298,12 @@
 	})
 }
 
-// Leave takes the instance out of address answers, here and at its peers. Requests are served as before.
+// Leave removes the instance from the address answers, here and at its peers. Requests are served as before.
 func (controller *Controller) Leave(ctx context.Context) error {
 	return controller.post(ctx, func(controller *Controller) {
-		controller.options.Log.Info().Msg("leaving: out of address answers, requests under way go on")
+		controller.options.Log.Info().Msg("leaving: removed from address answers, requests in flight continue")
 		controller.members.SetState(membership.Leaving)
-		controller.sendBeats()
+		controller.sendHeartbeats()
 		controller.publish()
 	})
 }
--- a/internal/fleet/controller_bench_test.go
+++ b/internal/fleet/controller_bench_test.go
@@ -9,10 +9,10 @@
 func BenchmarkStandbySecond(b *testing.B) {
 	for _, instances := range []int{30, 100, 300} {
 		b.Run(fmt.Sprintf("%d instances", instances), func(b *testing.B) {
-			fixture := newStandby(b, instances, 318)
+			fixture := newStandbyFixture(b, instances, 318)
 			b.ReportAllocs()
 			for b.Loop() {
-				fixture.second()
+				fixture.advanceSecond()
 			}
 		})
 	}
@@ -20,7 +20,7 @@
 
 // Whenever an instance comes or goes, and whenever a server changes, the routes and owners are worked out anew.
 func BenchmarkPublish(b *testing.B) {
-	fixture := newStandby(b, 100, 318)
+	fixture := newStandbyFixture(b, 100, 318)
 	b.ReportAllocs()
 	for b.Loop() {
 		fixture.controller.publish()
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -23,40 +23,40 @@
 		name string
 		self int
 		// told is whether a seed that has read the store is heard, after the time before it passed.
-		told bool
+		informed bool
 		// state is that of the seed.
-		state   membership.State
-		passed  clock.Milliseconds
-		again   bool
-		leads   bool
-		follows catalog.Revision
+		state      membership.State
+		elapsed    clock.Milliseconds
+		restarted  bool
+		readsStore bool
+		followed   catalog.Revision
 	}{
 		{"a seed", 1, false, 0, 0, false, true, 0},
-		{"another", 9, false, 0, startAlone / 20, false, false, 0},
-		{"another, told", 9, true, membership.Joining, startAlone / 20, false, false, 7},
-		{"another, alone", 9, false, 0, startAlone, false, true, 0},
+		{"another", 9, false, 0, firstStartReadDelay / 20, false, false, 0},
+		{"another, told", 9, true, membership.Joining, firstStartReadDelay / 20, false, false, 7},
+		{"another, alone", 9, false, 0, firstStartReadDelay, false, true, 0},
 		{"after a restart", 9, false, 0, 0, true, false, 0},
 		{"after a restart, told", 9, true, membership.Serving, 0, true, false, 7},
-		{"after a restart, alone", 9, false, 0, restartAlone, true, true, 0},
+		{"after a restart, alone", 9, false, 0, restartReadDelayNext, true, true, 0},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newFixture(testCase.self, 1, 2, 3)
-			fixture.controller.options.FleetStarts = !testCase.again
-			fixture.pass(testCase.passed)
-			if testCase.told {
-				fixture.hear(2, testCase.state, 7)
+			fixture.controller.options.FleetStarts = !testCase.restarted
+			fixture.advance(testCase.elapsed)
+			if testCase.informed {
+				fixture.receiveHeartbeat(2, testCase.state, 7)
 			}
 			fixture.controller.tick()
-			require.Equal(t, testCase.leads, fixture.leads)
-			require.Equal(t, testCase.follows, fixture.follows)
+			require.Equal(t, testCase.readsStore, fixture.readsStore)
+			require.Equal(t, testCase.followed, fixture.followed)
 			require.Zero(t, fixture.staleReads, "nobody asked")
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			for range 2 {
 				require.Nil(t, fixture.controller.AwaitTable(ctx))
 			}
-			require.Equal(t, testCase.again, fixture.staleReads == 1, "an old view is read once for callers that come after a restart")
+			require.Equal(t, testCase.restarted, fixture.staleReads == 1, "an old view is read once for callers that come after a restart")
 		})
 	}
 }
@@ -64,12 +64,12 @@
 // Instances that stand by come and go all the time in a large fleet. Who serves and who owns what does not change by that, and
 // is not worked out anew; when a serving one comes, it is.
 func TestOnlyServingInstancesChangeOwners(t *testing.T) {
-	fixture := newStandby(t, 20, 30)
+	fixture := newStandbyFixture(t, 20, 30)
 	before := fixture.controller.Table()
-	fixture.hear(30, membership.StandingBy, 1)
+	fixture.receiveHeartbeat(30, membership.StandingBy, 1)
 	fixture.controller.tick()
 	require.Same(t, before, fixture.controller.Table())
-	fixture.hear(2, membership.Leaving, 1)
+	fixture.receiveHeartbeat(2, membership.Leaving, 1)
 	fixture.controller.tick()
 	require.NotSame(t, before, fixture.controller.Table())
 	require.NotContains(t, fixture.controller.owners, identity(2).Name)
@@ -77,7 +77,7 @@
 
 // Bytes between data centres are charged. An instance that follows asks one of its own data centre while that has anything new,
 // unless another one has a newer configuration, which must be in force in time.
-func TestFreshPeerIsNear(t *testing.T) {
+func TestFreshestPeerIsInOwnDataCentre(t *testing.T) {
 	cases := []struct {
 		name       string
 		own, other catalog.Revision
@@ -91,36 +91,36 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newFixture(7)
-			fixture.controller.applyView(view(3, fixtureDataCentres))
-			fixture.hear(3, membership.Serving, testCase.own)
-			fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
+			fixture.controller.applyView(newView(3, fixtureDataCentres))
+			fixture.receiveHeartbeat(3, membership.Serving, testCase.own)
+			fixture.controller.receiveMessage(&Message{Heartbeat: &membership.Beat{
 				Identity: identity(0), Incarnation: 1, Sequence: 99, State: membership.Serving, Revision: testCase.other, Version: testCase.version, Fresh: true,
 			}})
-			require.Equal(t, identity(testCase.expected).Name, fixture.controller.freshPeer().Identity.Name)
+			require.Equal(t, identity(testCase.expected).Name, fixture.controller.freshestPeer().Identity.Name)
 		})
 	}
 }
 
 // A machine is suspended for some seconds and goes on as if nothing had happened: its timers did not count that time. Servers have
 // left meanwhile, and requests sent by the old view would be lost there. Until everything was read anew it must serve by nothing.
-func TestSuspendedMachineServesByNothingOld(t *testing.T) {
+func TestSuspendedMachineDropsOldView(t *testing.T) {
 	cases := []struct {
-		name      string
-		suspended clock.Milliseconds
-		forgets   bool
+		name       string
+		suspended  clock.Milliseconds
+		dropsTable bool
 	}{
-		{"a hiccup", frozenFor / 2, false},
+		{"a hiccup", suspendThreshold / 2, false},
 		{"suspended", 4 * clock.Second, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			fixture := newStandby(t, 12, 30)
+			fixture := newStandbyFixture(t, 12, 30)
 			require.NotNil(t, fixture.controller.Table())
 			fixture.awake.Advance(testCase.suspended)
 			fixture.controller.tick()
-			require.Equal(t, testCase.forgets, fixture.controller.Table() == nil)
-			require.Equal(t, testCase.forgets, fixture.refreshed)
-			fixture.controller.applyView(view(30, fixtureDataCentres))
+			require.Equal(t, testCase.dropsTable, fixture.controller.Table() == nil)
+			require.Equal(t, testCase.dropsTable, fixture.refreshed)
+			fixture.controller.applyView(newView(30, fixtureDataCentres))
 			require.NotNil(t, fixture.controller.Table())
 		})
 	}
@@ -128,91 +128,91 @@
 
 // A server ends and starts again under its name and address while a request is in flight there. It is cold and knows nothing of
 // that request; taken for the warm one that it was, it would be given its full load and crash.
-func TestBornAnewIsCold(t *testing.T) {
+func TestRestartedServerIsCold(t *testing.T) {
 	fixture := newFixture(1, 1)
-	before := view(3, 1)
+	before := newView(3, 1)
 	before.Configuration.Services["lookups"] = catalog.ServiceLimits{ColdRate: 4}
 	fixture.controller.applyView(before)
 	scheduler := fixture.controller.services["lookups"].scheduler
 	warm := service.Reading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
 	scheduler.Observe("target-0", warm)
-	place, found := scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	permit, found := scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
 	require.True(t, found, "a warm server takes requests whoever owns it")
 
-	anew := view(3, 1)
-	anew.Revision = 2
-	anew.Configuration = before.Configuration
-	anew.Servers[0].Started = 99
-	anew.Servers[0].ColdFor = 3 * clock.Second
-	fixture.controller.applyView(anew)
+	restarted := newView(3, 1)
+	restarted.Revision = 2
+	restarted.Configuration = before.Configuration
+	restarted.Servers[0].Started = 99
+	restarted.Servers[0].ColdFor = 3 * clock.Second
+	fixture.controller.applyView(restarted)
 	_, found = scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
 	require.False(t, found, "this instance does not own it, so it may not start it")
-	place.Release(service.Failed)
+	permit.Release(service.Failed)
 }
 
 // Operators take a data centre out. Its instance still serves, but all servers are others' now; callers who are sent to it are refused
 // while there is room. Answers must leave it out, name it when nothing else is there, and name it again when the data centre is back.
-func TestAddressesLeaveOutWhereNothingRuns(t *testing.T) {
+func TestAddressesOmitDataCentresThatAreOut(t *testing.T) {
 	cases := []struct {
-		name  string
-		out   []settings.DataCentreName
-		named []int
+		name       string
+		out        []settings.DataCentreName
+		advertised []int
 	}{
 		{"all in", nil, []int{0, 1, 2, 3}},
 		{"one out", []settings.DataCentreName{"dc-1"}, []int{0, 2, 3}},
 		{"all out", []settings.DataCentreName{"dc-0", "dc-1", "dc-2", "dc-3"}, []int{0, 1, 2, 3}},
 		{"back", nil, []int{0, 1, 2, 3}},
 	}
-	fixture := newStandby(t, 12, 30)
+	fixture := newStandbyFixture(t, 12, 30)
 	for index, testCase := range cases {
-		changed := view(30, fixtureDataCentres)
+		changed := newView(30, fixtureDataCentres)
 		changed.Revision = catalog.Revision(index + 2)
 		changed.Out = testCase.out
 		fixture.controller.applyView(changed)
 		var expected []string
-		for _, number := range testCase.named {
+		for _, number := range testCase.advertised {
 			expected = append(expected, identity(number).Caller)
 		}
-		named, _ := fixture.controller.Addresses()
-		require.ElementsMatch(t, expected, named, testCase.name)
+		advertised, _ := fixture.controller.Addresses()
+		require.ElementsMatch(t, expected, advertised, testCase.name)
 	}
 }
 
 // All instances that serve die at once, or are cut off. One that stands by follows them, and what they would have told it binds it as well: it must read
 // for itself long before it takes them for lost.
-func TestSilentLeadsAreNotWaitedFor(t *testing.T) {
+func TestSilentLeadersAreNotWaitedFor(t *testing.T) {
 	cases := []struct {
-		name   string
-		silent clock.Milliseconds
-		leads  bool
+		name       string
+		silent     clock.Milliseconds
+		readsStore bool
 	}{
 		{"they speak", 0, false},
 		{"a beat is late", clock.Second + 300, false},
-		{"silent", silentLead + tickStandby, true},
+		{"silent", silentLeadersTimeout + standbyTickInterval, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			fixture := newStandby(t, 12, 30)
-			fixture.second()
-			fixture.second()
-			require.False(t, fixture.leads)
+			fixture := newStandbyFixture(t, 12, 30)
+			fixture.advanceSecond()
+			fixture.advanceSecond()
+			require.False(t, fixture.readsStore)
 			for number := range fixture.serving {
-				fixture.hear(number, membership.Serving, 1)
+				fixture.receiveHeartbeat(number, membership.Serving, 1)
 			}
-			fixture.pass(testCase.silent)
+			fixture.advance(testCase.silent)
 			fixture.controller.tick()
-			require.Equal(t, testCase.leads, fixture.leads)
+			require.Equal(t, testCase.readsStore, fixture.readsStore)
 		})
 	}
 }
 
 // Guards against an instance that knows of a newer view, is told it by nobody, and waits until those that serve count as silent.
-func TestUntoldViewIsReadFromTheStore(t *testing.T) {
+func TestUndeliveredViewIsReadFromStore(t *testing.T) {
 	cases := []struct {
 		name        string
 		revision    catalog.Revision
 		peerFailing bool
-		leads       bool
+		readsStore  bool
 	}{
 		{"nothing newer is known", 1, true, false},
 		{"peers tell", 2, false, false},
@@ -220,49 +220,49 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			fixture := newStandby(t, 12, 30)
-			fixture.hear(0, membership.Serving, testCase.revision)
+			fixture := newStandbyFixture(t, 12, 30)
+			fixture.receiveHeartbeat(0, membership.Serving, testCase.revision)
 			fixture.peerFailing = testCase.peerFailing
-			fixture.pass(tickStandby)
+			fixture.advance(standbyTickInterval)
 			fixture.controller.tick()
-			require.Equal(t, testCase.leads, fixture.leads)
+			require.Equal(t, testCase.readsStore, fixture.readsStore)
 		})
 	}
 }
 
 // Guards against a peer that was lost and is asked again and again while another one would answer.
 func TestPeerThatDoesNotAnswerIsAvoided(t *testing.T) {
-	fixture := newStandby(t, 12, 30)
-	fixture.hear(3, membership.Serving, 2)
-	fixture.hear(0, membership.Serving, 2)
-	require.Equal(t, identity(3).Name, fixture.controller.freshPeer().Identity.Name)
+	fixture := newStandbyFixture(t, 12, 30)
+	fixture.receiveHeartbeat(3, membership.Serving, 2)
+	fixture.receiveHeartbeat(0, membership.Serving, 2)
+	require.Equal(t, identity(3).Name, fixture.controller.freshestPeer().Identity.Name)
 	fixture.controller.members.SetUnreachable(netip.MustParseAddrPort(identity(3).Peer))
-	require.Equal(t, identity(0).Name, fixture.controller.freshPeer().Identity.Name)
-	fixture.pass(clock.Second)
-	require.Equal(t, identity(3).Name, fixture.controller.freshPeer().Identity.Name)
+	require.Equal(t, identity(0).Name, fixture.controller.freshestPeer().Identity.Name)
+	fixture.advance(clock.Second)
+	require.Equal(t, identity(3).Name, fixture.controller.freshestPeer().Identity.Name)
 }
 
 // Guards against instances that leave and read the store for themselves, each as often as one that serves.
 func TestLeavingInstanceFollows(t *testing.T) {
-	fixture := newStandby(t, 12, 30)
+	fixture := newStandbyFixture(t, 12, 30)
 	require.NoError(t, fixture.controller.Leave(t.Context()))
 	(<-fixture.controller.inbox)(fixture.controller)
-	fixture.second()
+	fixture.advanceSecond()
 	require.Equal(t, membership.Leaving, fixture.controller.members.State())
-	require.False(t, fixture.leads)
+	require.False(t, fixture.readsStore)
 }
 
 // Guards against hundreds that all read the store after a restart, or while it is away, and use up its link or its calls.
-func TestThoseThatComeFirstReadFirst(t *testing.T) {
+func TestNextToServeReadsStoreFirst(t *testing.T) {
 	cases := []struct {
-		name   string
-		self   int
-		passed clock.Milliseconds
-		leads  bool
+		name       string
+		self       int
+		elapsed    clock.Milliseconds
+		readsStore bool
 	}{
-		{"the next to serve", 0, restartAlone, true},
-		{"any other", 29, restartAlone, false},
-		{"any other, later", 29, restartAloneLast, true},
+		{"the next to serve", 0, restartReadDelayNext, true},
+		{"any other", 29, restartReadDelayNext, false},
+		{"any other, later", 29, restartReadDelayOthers, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -270,32 +270,32 @@
 			fixture.controller.options.FleetStarts = false
 			for number := range 30 {
 				if number != testCase.self {
-					fixture.hear(number, membership.StandingBy, 0)
+					fixture.receiveHeartbeat(number, membership.StandingBy, 0)
 				}
 			}
-			fixture.pass(testCase.passed)
+			fixture.advance(testCase.elapsed)
 			fixture.controller.tick()
-			require.Equal(t, testCase.leads, fixture.leads)
+			require.Equal(t, testCase.readsStore, fixture.readsStore)
 		})
 	}
 	for _, self := range []int{0, 11} {
 		t.Run(fmt.Sprintf("the store is away, instance %d", self), func(t *testing.T) {
-			fixture := newStandby(t, 12, 30)
+			fixture := newStandbyFixture(t, 12, 30)
 			if self == 0 {
 				// Its data centre loses all that come before it.
-				fixture.hear(3, membership.Leaving, 1)
-				fixture.hear(7, membership.Leaving, 1)
+				fixture.receiveHeartbeat(3, membership.Leaving, 1)
+				fixture.receiveHeartbeat(7, membership.Leaving, 1)
 			}
 			for number := range fixture.serving {
 				fixture.sequence++
-				fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
+				fixture.controller.receiveMessage(&Message{Heartbeat: &membership.Beat{
 					Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: membership.Serving, Revision: 1, Version: 1,
 				}})
 			}
 			fixture.controller.tick()
-			fixture.pass(unledFor)
+			fixture.advance(leaderlessTimeoutNext)
 			fixture.controller.tick()
-			require.Equal(t, self == 0, fixture.leads)
+			require.Equal(t, self == 0, fixture.readsStore)
 		})
 	}
 }
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -26,12 +26,12 @@
 	awake      *clock.Manual
 	serving    []membership.Identity
 	sequence   uint64
-	leads      bool
+	readsStore bool
 	refreshed  bool
 	staleReads int
 	// peerFailing is what its reader says of its peers.
 	peerFailing bool
-	follows     catalog.Revision
+	followed    catalog.Revision
 }
 
 const fixtureDataCentres = 4
@@ -48,7 +48,7 @@
 // newFixture makes an instance that has just started and has heard nobody.
 func newFixture(self int, seeds ...int) *fixture {
 	fixture := &fixture{clock: clock.NewManual(), awake: clock.NewManual()}
-	fixture.pass(clock.Second)
+	fixture.advance(clock.Second)
 	var addresses []netip.AddrPort
 	for _, seed := range seeds {
 		addresses = append(addresses, netip.MustParseAddrPort(identity(seed).Peer))
@@ -60,7 +60,7 @@
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
 	fixture.controller.SetCatalogReader(CatalogReader{
-		SetRole: func(role catalog.Role) { fixture.leads = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.follows = revision },
+		SetRole: func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.followed = revision },
 		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
 		LastContact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
@@ -69,21 +69,21 @@
 }
 
 // pass lets time pass on both clocks.
-func (fixture *fixture) pass(length clock.Milliseconds) {
+func (fixture *fixture) advance(length clock.Milliseconds) {
 	fixture.clock.Advance(length)
 	fixture.awake.Advance(length)
 }
 
 // hear lets the instance hear another one.
-func (fixture *fixture) hear(number int, state membership.State, revision catalog.Revision) {
+func (fixture *fixture) receiveHeartbeat(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
-	fixture.controller.hear(&Message{Heartbeat: &membership.Beat{
+	fixture.controller.receiveMessage(&Message{Heartbeat: &membership.Beat{
 		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, Fresh: true,
 	}})
 }
 
 // newStandby makes an instance that stands by in a fleet of which one instance in each data centre serves.
-func newStandby(tb testing.TB, instances, targets int) *fixture {
+func newStandbyFixture(tb testing.TB, instances, targets int) *fixture {
 	fixture := newFixture(instances - 1)
 	for number := range instances - 1 {
 		state := membership.StandingBy
@@ -91,17 +91,17 @@
 			state = membership.Serving
 			fixture.serving = append(fixture.serving, identity(number))
 		}
-		fixture.hear(number, state, 1)
+		fixture.receiveHeartbeat(number, state, 1)
 	}
-	fixture.controller.applyView(view(targets, fixtureDataCentres))
-	fixture.pass(clock.Second)
-	fixture.second()
+	fixture.controller.applyView(newView(targets, fixtureDataCentres))
+	fixture.advance(clock.Second)
+	fixture.advanceSecond()
 	require.Equal(tb, membership.StandingBy, fixture.controller.members.State())
 	return fixture
 }
 
 // view has the given number of backend servers in three services.
-func view(targets, dataCentres int) *catalog.View {
+func newView(targets, dataCentres int) *catalog.View {
 	view := &catalog.View{Revision: 1, Configuration: &catalog.Configuration{
 		Version: 1, Services: map[settings.ServiceName]catalog.ServiceLimits{"lookups": {}, "payments": {}, "exports": {}},
 	}}
@@ -122,12 +122,12 @@
 }
 
 // second lets a second pass: ticks, and a beat from each serving instance.
-func (fixture *fixture) second() {
+func (fixture *fixture) advanceSecond() {
 	for number := range fixture.serving {
-		fixture.hear(number, membership.Serving, 1)
+		fixture.receiveHeartbeat(number, membership.Serving, 1)
 	}
-	for passed := clock.Milliseconds(0); passed < clock.Second; passed += tickStandby {
-		fixture.pass(tickStandby)
+	for passed := clock.Milliseconds(0); passed < clock.Second; passed += standbyTickInterval {
+		fixture.advance(standbyTickInterval)
 		fixture.controller.tick()
 	}
 }
--- a/internal/fleet/consumer_test.go
+++ b/internal/fleet/load_generator_test.go
@@ -12,20 +12,20 @@
 )
 
 // consumer is an instance that probes the backend servers it owns and sends to all of them whatever its schedulers let through.
-type consumer struct {
+type loadGenerator struct {
 	controller *Controller
 	jobs       []sensing.Job
-	places     []heldPlace
+	permits    []heldPermit
 }
 
-type heldPlace struct {
-	place service.Place
-	until clock.Moment
+type heldPermit struct {
+	permit service.Place
+	until  clock.Moment
 }
 
 // coldView is a view of which every server is cold.
-func coldView(targets, dataCentres int) *catalog.View {
-	cold := view(targets, dataCentres)
+func newColdView(targets, dataCentres int) *catalog.View {
+	cold := newView(targets, dataCentres)
 	for name := range cold.Configuration.Services {
 		cold.Configuration.Services[name] = catalog.ServiceLimits{ColdRate: ownedColdRate}
 	}
@@ -35,42 +35,42 @@
 	return cold
 }
 
-func (consumer *consumer) probe(now clock.Moment) {
-	for _, job := range consumer.jobs {
+func (loadGenerator *loadGenerator) probe(now clock.Moment) {
+	for _, job := range loadGenerator.jobs {
 		reading := service.Reading{At: now, Slots: 2, Slowdown: 1, ColdKnown: true, ColdFor: clock.Minute}
-		consumer.controller.RecordProbe(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, Reading: reading}})
+		loadGenerator.controller.RecordProbe(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, Reading: reading}})
 	}
 }
 
 // use sends as many requests as the schedulers let through, and returns where they went.
-func (consumer *consumer) use(now clock.Moment) []settings.TargetName {
-	kept := consumer.places[:0]
-	for _, held := range consumer.places {
+func (loadGenerator *loadGenerator) sendRequests(now clock.Moment) []settings.TargetName {
+	kept := loadGenerator.permits[:0]
+	for _, held := range loadGenerator.permits {
 		if now >= held.until {
-			held.place.Release(service.Succeeded)
+			held.permit.Release(service.Succeeded)
 			continue
 		}
 		kept = append(kept, held)
 	}
-	consumer.places = kept
+	loadGenerator.permits = kept
 	var sent []settings.TargetName
-	if consumer.controller.Table() == nil {
+	if loadGenerator.controller.Table() == nil {
 		// A caller comes, and waits for a table.
-		consumer.controller.readStale()
+		loadGenerator.controller.readStale()
 	}
-	for _, name := range slices.Sorted(maps.Keys(consumer.controller.services)) {
+	for _, name := range slices.Sorted(maps.Keys(loadGenerator.controller.services)) {
 		for range 4 {
-			place, ticket, err := consumer.controller.services[name].scheduler.Enter(service.Demand{
+			permit, pendingPermit, err := loadGenerator.controller.services[name].scheduler.Enter(service.Demand{
 				Class: "class-0", Aim: now.Add(clock.Second), Deadline: now.Add(clock.Second),
 			})
-			if ticket != nil {
-				place, err = ticket.GiveUp()
+			if pendingPermit != nil {
+				permit, err = pendingPermit.GiveUp()
 			}
 			if err != nil {
 				break
 			}
-			sent = append(sent, place.Target.Name)
-			consumer.places = append(consumer.places, heldPlace{place: place, until: now.Add(ownedPause)})
+			sent = append(sent, permit.Target.Name)
+			loadGenerator.permits = append(loadGenerator.permits, heldPermit{permit: permit, until: now.Add(ownedInterval)})
 		}
 	}
 	return sent
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -13,13 +13,13 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// readingsMost is the number of readings in one datagram: with some 14 bytes each they fit into one packet.
-const readingsMost = 80
+// maxReadingsPerDatagram is the maximum number of readings in a datagram: at about 14 bytes each they fit into one packet.
+const maxReadingsPerDatagram = 80
 
 // ErrInvalidMessage says that a datagram makes no sense.
 var ErrInvalidMessage = errors.New("message not understood")
 
-// TargetKey stands for a backend server's name: a hash of it, since names would make up most of a datagram.
+// TargetKey identifies a backend server by a hash of its name, since names would make up most of a datagram.
 type TargetKey uint32
 
 func keyOf(name settings.TargetName) TargetKey {
@@ -29,73 +29,75 @@
 	return TargetKey(hash.Sum32())
 }
 
-// SharedReading is an owner's reading of a target on its way to another instance.
+// SharedReading is the load reading of a target as its owner sends it to other instances.
 type SharedReading struct {
 	_       struct{} `cbor:",toarray"`
 	Target  TargetKey
 	Running uint16
 	Waiting uint16
 	Slots   uint16
-	// SlowdownPercent is 100 when work takes as long as usual.
+	// SlowdownPercent is 100 when requests take as long as usual.
 	SlowdownPercent uint16
-	// AgeMs and ColdMs are in milliseconds; ColdMs is -1 when nothing is known.
+	// AgeMs and ColdMs are in milliseconds; ColdMs is -1 when it is not known.
 	AgeMs  uint16
 	ColdMs int32
 	Down   bool
-	// SteadyMs and PeriodMs tell when the slowdown may change, in milliseconds from when the reading was taken; 0 when
-	// it is not known.
+	// SteadyMs and PeriodMs tell when the slowdown may change, in milliseconds from the time of the reading; 0 when this is
+	// not known.
 	SteadyMs float32
 	PeriodMs float32
 }
 
-// slowdownUnit is the percentage that stands for work as usual.
+// slowdownUnit is the percentage of a target without slowdown.
 const slowdownUnit = 100
 
-// unknownCold stands for a reading that does not tell how warm the target is.
+// unknownCold is the ColdMs of a reading without information on how warm the target is.
 const unknownCold = -1
 
-func share(key TargetKey, own ownReading, steady, period clock.Milliseconds, now clock.Moment) SharedReading {
+func newSharedReading(key TargetKey, own ownReading, steady, period clock.Milliseconds, now clock.Moment) SharedReading {
 	reading := own.reading
-	shared := SharedReading{
+	sharedReading := SharedReading{
 		Target: key, Running: uint16(reading.Running), Waiting: uint16(reading.Waiting), Slots: uint16(reading.Slots),
 		SlowdownPercent: uint16(reading.Slowdown * slowdownUnit), AgeMs: uint16(max(now.Since(reading.At), 0)), ColdMs: unknownCold, Down: own.down,
 	}
 	if period > 0 {
-		shared.SteadyMs = float32(steady + clock.Milliseconds(shared.AgeMs))
-		shared.PeriodMs = float32(period)
+		sharedReading.SteadyMs = float32(steady + clock.Milliseconds(sharedReading.AgeMs))
+		sharedReading.PeriodMs = float32(period)
 	}
 	if reading.ColdKnown {
-		shared.ColdMs = int32(reading.ColdFor)
+		sharedReading.ColdMs = int32(reading.ColdFor)
 	}
-	return shared
+	return sharedReading
 }
 
-// steadyMost is the longest time for which a slowdown may be said to stay as it is: far beyond any period that is looked for.
-const steadyMost = clock.Minute
+// maxSteady is the maximum time for which a slowdown may be reported to stay as it is: far beyond any period that is searched
+// for.
+const maxSteady = clock.Minute
 
-// steady returns when the slowdown may change, if what was told of it can be meant. Any process may send a datagram, and a period that
-// is no number would make every prediction for the target one.
-func (shared *SharedReading) steady() (clock.Milliseconds, clock.Milliseconds) {
-	steady, period := clock.Milliseconds(shared.SteadyMs), clock.Milliseconds(shared.PeriodMs)
-	if believable := steady >= 0 && steady <= steadyMost && period > 0 && period <= steadyMost; !believable {
+// slowdownCycle returns for how long the slowdown stays as it is and the period of its changes, or zeros if the received
+// values are implausible. Any process may send a datagram, and a period that is not a number would make every prediction for
+// the target not a number as well.
+func (sharedReading *SharedReading) slowdownCycle() (clock.Milliseconds, clock.Milliseconds) {
+	steady, period := clock.Milliseconds(sharedReading.SteadyMs), clock.Milliseconds(sharedReading.PeriodMs)
+	if believable := steady >= 0 && steady <= maxSteady && period > 0 && period <= maxSteady; !believable {
 		return 0, 0
 	}
 	return steady, period
 }
 
-// reading translates back; the time on the way is not known and taken as none.
-func (shared *SharedReading) reading(now clock.Moment) service.Reading {
-	steady, period := shared.steady()
+// loadReading converts back to a reading; the transmission time is not known and taken as zero.
+func (sharedReading *SharedReading) loadReading(now clock.Moment) service.Reading {
+	steady, period := sharedReading.slowdownCycle()
 	return service.Reading{
-		At:      now.Add(-clock.Milliseconds(shared.AgeMs)),
-		Running: int(shared.Running), Waiting: int(shared.Waiting), Slots: int(shared.Slots),
-		Slowdown:  float64(shared.SlowdownPercent) / slowdownUnit,
+		At:      now.Add(-clock.Milliseconds(sharedReading.AgeMs)),
+		Running: int(sharedReading.Running), Waiting: int(sharedReading.Waiting), Slots: int(sharedReading.Slots),
+		Slowdown:  float64(sharedReading.SlowdownPercent) / slowdownUnit,
 		SteadyFor: steady, Period: period,
-		ColdKnown: shared.ColdMs != unknownCold, ColdFor: clock.Milliseconds(max(shared.ColdMs, 0)),
+		ColdKnown: sharedReading.ColdMs != unknownCold, ColdFor: clock.Milliseconds(max(sharedReading.ColdMs, 0)),
 	}
 }
 
-// Message is the one datagram between instances: a beat, readings, or requests of teams that were let in.
+// Message is the content of a datagram between instances: a heartbeat, readings, or a report of admitted requests of teams.
 type Message struct {
 	_         struct{} `cbor:",toarray"`
 	Heartbeat *membership.Beat
@@ -103,7 +105,7 @@
 	Quota     *quota.Report
 }
 
-// decoding is strict: what doesn't fit the message exactly was not written by an instance of this release.
+// decoding is strict: a datagram that does not fit the message exactly was not written by an instance of this release.
 var decoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: 128, MaxMapPairs: 16, MaxNestedLevels: 6,
@@ -115,20 +117,20 @@
 	return mode
 }()
 
-// Encode writes a message.
+// Encode returns the CBOR encoding of a message.
 func Encode(message *Message) ([]byte, error) {
 	text, err := cbor.Marshal(message)
 	return text, errors.Wrap(err, "encode message to a peer")
 }
 
-// Decode reads a message.
+// Decode parses a message. The error is ErrInvalidMessage.
 func Decode(text []byte) (*Message, error) {
 	var message Message
 	if err := decoding.Unmarshal(text, &message); err != nil {
 		return nil, errors.Wrapf(ErrInvalidMessage, "%v", err)
 	}
 	if message.Heartbeat == nil && len(message.Readings) == 0 && message.Quota == nil {
-		return nil, errors.Wrap(ErrInvalidMessage, "neither a beat nor readings nor a report")
+		return nil, errors.Wrap(ErrInvalidMessage, "neither a heartbeat nor readings nor a quota report")
 	}
 	return &message, nil
 }
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -13,12 +13,12 @@
 // Readings arrive as they were taken, but for the time on the way.
 func TestReadingsRoundTrip(t *testing.T) {
 	own := ownReading{reading: service.Reading{At: 990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700}}
-	shared := share(keyOf("one"), own, 40, 150, 1000)
-	text, err := Encode(&Message{Readings: []SharedReading{shared}})
+	sharedReading := newSharedReading(keyOf("one"), own, 40, 150, 1000)
+	text, err := Encode(&Message{Readings: []SharedReading{sharedReading}})
 	require.NoError(t, err)
 	message, err := Decode(text)
 	require.NoError(t, err)
-	reading := message.Readings[0].reading(5000)
+	reading := message.Readings[0].loadReading(5000)
 	require.Equal(t, service.Reading{
 		At: 4990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700, SteadyFor: 50, Period: 150,
 	}, reading)
@@ -43,7 +43,7 @@
 		}
 		require.True(t, message.Heartbeat != nil || len(message.Readings) > 0)
 		for index := range message.Readings {
-			reading := message.Readings[index].reading(1000)
+			reading := message.Readings[index].loadReading(1000)
 			for _, figure := range []float64{float64(reading.SteadyFor), float64(reading.Period), float64(reading.ColdFor), reading.Slowdown} {
 				require.False(t, math.IsNaN(figure))
 				require.GreaterOrEqual(t, figure, 0.0)
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -20,12 +20,12 @@
 
 // What the targets of this test bear, and what the users allow on top over all instances in any second.
 const (
-	ownedColdRate  = 4.0
-	ownedColdOver  = 1.5
-	ownedColdSlack = 5.0
-	ownedTargets   = 6
-	ownedStep      = 10 * clock.Millisecond
-	ownedPause     = 50 * clock.Millisecond
+	ownedColdRate   = 4.0
+	ownedColdFactor = 1.5
+	ownedColdSlack  = 5.0
+	ownedTargets    = 6
+	ownedStep       = 10 * clock.Millisecond
+	ownedInterval   = 50 * clock.Millisecond
 )
 
 // ownedFleet is a few instances in virtual time, whose datagrams may be lost, delayed or cut off and which are paused and
@@ -34,18 +34,18 @@
 	clock     *clock.Manual
 	random    *rand.Rand
 	nodes     []*ownedNode
-	underWay  []ownedDatagram
+	inTransit []ownedDatagram
 	cut       map[[2]int]bool
-	late      clock.Milliseconds
+	maxDelay  clock.Milliseconds
 	sent      map[settings.TargetName][]clock.Moment
 	nextProbe clock.Moment
 }
 
 type ownedNode struct {
-	consumer
+	loadGenerator
 
-	number     int
-	pausedTill clock.Moment
+	number      int
+	pausedUntil clock.Moment
 }
 
 type ownedDatagram struct {
@@ -72,7 +72,7 @@
 	for number := range 3 {
 		seeds = append(seeds, netip.MustParseAddrPort(identity(number).Peer))
 	}
-	node.places = nil
+	node.permits = nil
 	node.controller = NewController(Options{
 		Self: identity(node.number), Incarnation: membership.Incarnation(fleet.random.Uint64()), Clock: &fleet.clock.Clock,
 		BootClock: &fleet.clock.Clock, Rand: rand.New(rand.NewPCG(fleet.random.Uint64(), 1)), Seeds: seeds,
@@ -85,7 +85,7 @@
 		SetRole: func(catalog.Role) {}, Follow: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
 		LastContact: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
 	})
-	node.controller.applyView(coldView(ownedTargets, fixtureDataCentres))
+	node.controller.applyView(newColdView(ownedTargets, fixtureDataCentres))
 }
 
 func (fleet *ownedFleet) send(from int, to netip.AddrPort, text []byte) {
@@ -93,8 +93,8 @@
 		if identity(number).Peer != to.String() || fleet.cut[[2]int{from, number}] || fleet.random.Float64() < 0.03 {
 			continue
 		}
-		delay := ownedStep + clock.Milliseconds(fleet.random.Float64())*fleet.late
-		fleet.underWay = append(fleet.underWay, ownedDatagram{to: number, at: fleet.clock.Now().Add(delay), text: text})
+		delay := ownedStep + clock.Milliseconds(fleet.random.Float64())*fleet.maxDelay
+		fleet.inTransit = append(fleet.inTransit, ownedDatagram{to: number, at: fleet.clock.Now().Add(delay), text: text})
 	}
 }
 
@@ -102,31 +102,31 @@
 func (fleet *ownedFleet) step() {
 	fleet.clock.Advance(ownedStep)
 	now := fleet.clock.Now()
-	waiting := fleet.underWay[:0]
+	waiting := fleet.inTransit[:0]
 	var arriving []ownedDatagram
-	for _, datagram := range fleet.underWay {
-		if datagram.at > now || now < fleet.nodes[datagram.to].pausedTill {
+	for _, datagram := range fleet.inTransit {
+		if datagram.at > now || now < fleet.nodes[datagram.to].pausedUntil {
 			waiting = append(waiting, datagram)
 			continue
 		}
 		arriving = append(arriving, datagram)
 	}
-	fleet.underWay = append([]ownedDatagram(nil), waiting...)
+	fleet.inTransit = append([]ownedDatagram(nil), waiting...)
 	probes := now >= fleet.nextProbe
 	if probes {
-		fleet.nextProbe = now.Add(ownedPause)
+		fleet.nextProbe = now.Add(ownedInterval)
 	}
 	for _, node := range fleet.nodes {
-		if now < node.pausedTill {
+		if now < node.pausedUntil {
 			continue
 		}
 		// A request that waited out a pause is placed before anything else happens: the worst order.
-		for _, name := range node.use(now) {
+		for _, name := range node.sendRequests(now) {
 			fleet.sent[name] = append(fleet.sent[name], now)
 		}
 		for _, datagram := range arriving {
 			if message, err := Decode(datagram.text); datagram.to == node.number && err == nil {
-				node.controller.hear(message)
+				node.controller.receiveMessage(message)
 			}
 		}
 		node.controller.tick()
@@ -137,7 +137,7 @@
 }
 
 // trouble changes something at random.
-func (fleet *ownedFleet) trouble() string {
+func (fleet *ownedFleet) injectFault() string {
 	one, other := fleet.random.IntN(len(fleet.nodes)), fleet.random.IntN(len(fleet.nodes))
 	switch fleet.random.IntN(6) {
 	case 0:
@@ -155,30 +155,30 @@
 		fleet.restart(fleet.nodes[one])
 		return fmt.Sprintf("restart %d", one)
 	case 4:
-		fleet.nodes[one].pausedTill = fleet.clock.Now().Add(clock.Milliseconds(fleet.random.IntN(3000)))
+		fleet.nodes[one].pausedUntil = fleet.clock.Now().Add(clock.Milliseconds(fleet.random.IntN(3000)))
 		return fmt.Sprintf("pause %d", one)
 	default:
-		fleet.late = clock.Milliseconds(fleet.random.IntN(300))
-		return fmt.Sprintf("datagrams late by up to %s", fleet.late)
+		fleet.maxDelay = clock.Milliseconds(fleet.random.IntN(300))
+		return fmt.Sprintf("datagrams late by up to %s", fleet.maxDelay)
 	}
 }
 
 // Servers are cold, and instances that can't hear each other, were paused or have just started disagree who may start them. Each that
 // takes itself for the owner sends to them; the sum over all must stay within what the users allow, or the servers crash again.
-func TestColdServersBearWhatAllOwnersSend(t *testing.T) {
+func TestColdServerLoadIsBoundedOverAllOwners(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			playOwnedFleet(t, newOwnedFleet(seed, 5))
+			runOwnedFleet(t, newOwnedFleet(seed, 5))
 		})
 	}
 }
 
-func playOwnedFleet(t *testing.T, fleet *ownedFleet) {
-	var story []string
+func runOwnedFleet(t *testing.T, fleet *ownedFleet) {
+	var faults []string
 	for step := range 3000 {
 		if step%60 == 59 {
-			story = append(story, fmt.Sprintf("%s: %s", clock.Milliseconds(fleet.clock.Now()), fleet.trouble()))
+			faults = append(faults, fmt.Sprintf("%s: %s", clock.Milliseconds(fleet.clock.Now()), fleet.injectFault()))
 		}
 		fleet.step()
 	}
@@ -186,8 +186,8 @@
 	for name, moments := range fleet.sent {
 		total += len(moments)
 		for _, from := range moments {
-			most := ownedColdRate*ownedColdOver + ownedColdSlack
-			require.LessOrEqual(t, float64(within(moments, from, clock.Second)), most, "%s, from %s: %v", name, clock.Milliseconds(from), story)
+			limit := ownedColdRate*ownedColdFactor + ownedColdSlack
+			require.LessOrEqual(t, float64(within(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
 		}
 	}
 	require.Greater(t, total, ownedTargets*30, "cold servers get next to nothing")
--- a/internal/fleet/package.go
+++ b/internal/fleet/package.go
@@ -1,10 +1,10 @@
-// Package fleet is the control of an instance that finds its fleet by itself and reads what a platform publishes. One
-// goroutine owns its state: who serves, who answers for which backend server, and which routes are in force. Traffic sees
-// only immutable tables and schedulers.
+// Package fleet is the control loop of an instance in a fleet of equal instances, which finds its members by itself and reads
+// the catalog that a platform publishes. One goroutine owns its state: which instances serve, which instance owns which
+// backend server, and which routes are in force. Request handling sees only immutable tables and schedulers.
 //
-// Each backend server has one owner, a serving instance of its own data centre if there is any. The owner probes it,
-// tells the other serving instances what it reads, and alone starts it while it is cold, so that what a cold server bears
-// holds for the whole fleet without a word between instances.
+// Each backend server has one owner: a serving instance of its own data centre if there is one. The owner probes the server,
+// sends its load readings to the other serving instances, and alone sends requests to it while it is cold, so that the limit
+// of a cold server holds for the whole fleet without coordination between instances.
 //
 // # Usage
 //
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// Receive takes a peer's datagram. It never blocks: what is dropped is soon said again.
+// Receive queues the datagram of a peer. It never blocks: the content of a dropped datagram is soon sent again.
 func (controller *Controller) Receive(datagram []byte) {
 	message, err := Decode(datagram)
 	if err != nil {
@@ -12,48 +12,48 @@
 		return
 	}
 	select {
-	case controller.inbox <- func(controller *Controller) { controller.hear(message) }:
+	case controller.inbox <- func(controller *Controller) { controller.receiveMessage(message) }:
 	default:
 		controller.options.Registry.Events.Add(EventInboxFull, 1)
 	}
 }
 
-// sendBeats sends what is due.
-func (controller *Controller) sendBeats() {
+// sendHeartbeats sends the heartbeats that are due.
+func (controller *Controller) sendHeartbeats() {
 	for _, address := range controller.members.Due() {
-		beat := controller.members.Beat(address)
-		controller.send(address, &Message{Heartbeat: &beat})
+		heartbeat := controller.members.Beat(address)
+		controller.send(address, &Message{Heartbeat: &heartbeat})
 	}
 }
 
 func (controller *Controller) send(address netip.AddrPort, message *Message) {
 	datagram, err := Encode(message)
 	if err != nil {
-		controller.options.Log.Error().Str("problem", err.Error()).Msg("datagram not sent")
+		controller.options.Log.Error().Str("problem", err.Error()).Msg("datagram to a peer not sent")
 		return
 	}
 	controller.options.Send(address, datagram)
 }
 
-// hear takes a peer's message.
-func (controller *Controller) hear(message *Message) {
+// receiveMessage applies the message of a peer.
+func (controller *Controller) receiveMessage(message *Message) {
 	now := controller.options.Clock.Now()
 	if message.Heartbeat != nil && controller.members.Hear(*message.Heartbeat) {
-		controller.heardNews = true
+		controller.membershipDirty = true
 	}
 	if message.Quota != nil {
-		controller.hearQuota(now, message.Quota)
+		controller.receiveQuotaReport(now, message.Quota)
 	}
 	for index := range message.Readings {
-		shared := &message.Readings[index]
-		ref, known := controller.targets[shared.Target]
+		sharedReading := &message.Readings[index]
+		ref, known := controller.targets[sharedReading.Target]
 		if !known || controller.owners[ref.name] == controller.options.Self.Name {
 			continue
 		}
 		state := controller.services[ref.service]
-		if !shared.Down {
-			state.scheduler.Observe(ref.name, shared.reading(now))
+		if !sharedReading.Down {
+			state.scheduler.Observe(ref.name, sharedReading.loadReading(now))
 		}
-		state.scheduler.SetDown(ref.name, shared.Down)
+		state.scheduler.SetDown(ref.name, sharedReading.Down)
 	}
 }
--- /dev/null
+++ b/internal/fleet/reader_role.go
@@ -0,0 +1,134 @@
+package fleet
+
+import (
+	"github.com/jaywheel/jaywheel/internal/catalog"
+	"github.com/jaywheel/jaywheel/internal/membership"
+	"github.com/jaywheel/jaywheel/pkg/clock"
+)
+
+// updateReaderRole decides whether this instance reads the store or follows a peer that does. An instance that finds no peer
+// with a fresh view reads the store itself, because it has to comply with what it would have received from that peer.
+func (controller *Controller) updateReaderRole(now clock.Moment, serves bool) {
+	leaders := controller.members.Leaders()
+	newest := leaders.Newest
+	role := controller.nextRole(now, serves, leaders)
+	if role != controller.role {
+		controller.role = role
+		controller.catalogReader.SetRole(role)
+	}
+	readsStore := role != catalog.RoleFollow
+	switch {
+	case readsStore:
+		controller.followPeerOnStoreFailure(now)
+	case controller.view == nil:
+		controller.catalogReader.Follow(controller.members.NewestConfigured())
+	case newest > controller.view.Revision && (now.Since(controller.viewAppliedAt) >= followInterval || controller.versionBehind()):
+		controller.catalogReader.Follow(newest)
+	}
+}
+
+// nextRole chooses the role of the catalog reader.
+func (controller *Controller) nextRole(now clock.Moment, serves bool, leaders membership.Leaders) catalog.Role {
+	switch {
+	case serves || leaders.Fresh > 0:
+		controller.leaderlessSince = 0
+	case controller.leaderlessSince == 0:
+		controller.leaderlessSince = now
+	}
+	silent := leaders.Heard > 0 && now.Since(max(leaders.Heard, controller.started)) >= silentLeadersTimeout || controller.missesUpdate()
+	switch {
+	case serves || controller.view == nil && controller.readsAtStart(now):
+		return catalog.RoleLead
+	case silent:
+		return catalog.RoleStandIn
+	case controller.leaderlessSince > 0 && now.Since(controller.leaderlessSince) >= controller.leaderlessTimeout() && now.Since(controller.started) >= restartReadDelayNext:
+		return catalog.RoleStandIn
+	default:
+		return catalog.RoleFollow
+	}
+}
+
+// missesUpdate reports whether a serving instance is known to have a newer view that no peer delivers.
+func (controller *Controller) missesUpdate() bool {
+	return controller.view != nil && controller.members.Leaders().Newest > controller.view.Revision && controller.catalogReader.PeerFailing()
+}
+
+// readsAtStart reports whether this instance, which has no view yet, reads the store because it has not received a view from a
+// peer.
+func (controller *Controller) readsAtStart(now clock.Moment) bool {
+	waited := now.Since(controller.started)
+	if controller.options.FleetStarts {
+		return controller.isSeed || waited >= firstStartReadDelay
+	}
+	return waited >= restartReadDelayNext && controller.members.Leading() || waited >= restartReadDelayOthers
+}
+
+// leaderlessTimeout returns how long this instance waits for a serving instance with a fresh view before it reads the store
+// itself.
+func (controller *Controller) leaderlessTimeout() clock.Milliseconds {
+	if controller.members.Leading() {
+		return leaderlessTimeoutNext
+	}
+	return leaderlessTimeoutOthers
+}
+
+// followPeerOnStoreFailure reads a newer view of any other instance while the store refuses the calls of this instance.
+func (controller *Controller) followPeerOnStoreFailure(now clock.Moment) {
+	if controller.view == nil || !controller.catalogReader.Failing() || now < controller.nextStoreFailureFollow {
+		return
+	}
+	if known := controller.members.NewestConfigured(); known > controller.view.Revision {
+		controller.nextStoreFailureFollow = now.Add(storeFailureFollowInterval)
+		controller.catalogReader.Follow(known)
+	}
+}
+
+// versionBehind reports whether a serving peer has a newer configuration.
+func (controller *Controller) versionBehind() bool {
+	for _, peer := range controller.members.Peers() {
+		if controller.view.Configuration == nil || peer.Version > controller.view.Configuration.Version {
+			return true
+		}
+	}
+	return false
+}
+
+func (controller *Controller) updateCatalogState(now clock.Moment) {
+	var revision catalog.Revision
+	var version catalog.Version
+	if controller.view != nil {
+		revision = controller.view.Revision
+		if controller.view.Configuration != nil {
+			version = controller.view.Configuration.Version
+		}
+	}
+	contact := controller.catalogReader.LastContact()
+	fresh := controller.role != catalog.RoleFollow && !controller.catalogReader.Failing() && contact > 0 && now.Since(contact) < maxFreshContactAge
+	controller.members.SetCatalog(revision, version, fresh)
+}
+
+// maxFreshContactAge is how recently the store must have answered for an instance to report its view as fresh: the duration of
+// one watch plus some slack.
+const maxFreshContactAge = 2800 * clock.Millisecond
+
+// checkBehind catches up with a newer revision that a serving peer has had for a while.
+func (controller *Controller) checkBehind(now clock.Moment) {
+	newer, maxBehind := false, behindTimeout
+	if controller.role != catalog.RoleFollow && controller.view != nil {
+		newer = controller.members.Leaders().Newest > controller.view.Revision
+		if controller.versionBehind() {
+			maxBehind = versionBehindTimeout
+		}
+	}
+	switch {
+	case !newer:
+		controller.behindSince = 0
+	case controller.behindSince == 0:
+		controller.behindSince = now
+	case now.Since(controller.behindSince) > maxBehind:
+		controller.behindSince = 0
+		controller.options.Registry.Events.Add(EventBehind, 1)
+		controller.options.Log.Warn().Uint64("revision", uint64(controller.view.Revision)).Msg("a serving peer has a newer catalog revision; catching up")
+		controller.catalogReader.CatchUp(controller.members.Leaders().Newest)
+	}
+}
--- a/internal/fleet/share.go
+++ b/internal/fleet/share.go
@@ -6,21 +6,21 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ownReading is what a probe has just told.
+// ownReading is the latest probe result of an owned target.
 type ownReading struct {
 	reading service.Reading
 	down    bool
 }
 
-// shareReadings tells the other serving instances what own probes have read.
+// shareReadings sends the readings of this instance's probes to the other serving instances.
 func (controller *Controller) shareReadings(now clock.Moment) {
-	if now < controller.nextShare {
+	if now < controller.nextReadingShare {
 		return
 	}
-	controller.nextShare = now.Add(shareEvery)
+	controller.nextReadingShare = now.Add(readingShareInterval)
 	controller.latestMutex.Lock()
-	latest := controller.latest
-	controller.latest = make(map[settings.TargetName]ownReading, len(latest))
+	latest := controller.latestReadings
+	controller.latestReadings = make(map[settings.TargetName]ownReading, len(latest))
 	controller.latestMutex.Unlock()
 	readings := make([]SharedReading, 0, len(latest))
 	for name, own := range latest {
@@ -28,13 +28,13 @@
 		if ref, known := controller.targets[keyOf(name)]; known {
 			steady, period = controller.services[ref.service].scheduler.Steady(name)
 		}
-		if period > 0 && steady < worthTelling && !own.down {
+		if period > 0 && steady < minSharedValidity && !own.down {
 			continue
 		}
-		readings = append(readings, share(keyOf(name), own, steady, period, now))
+		readings = append(readings, newSharedReading(keyOf(name), own, steady, period, now))
 	}
-	for start := 0; start < len(readings); start += readingsMost {
-		message := &Message{Readings: readings[start:min(start+readingsMost, len(readings))]}
+	for start := 0; start < len(readings); start += maxReadingsPerDatagram {
+		message := &Message{Readings: readings[start:min(start+maxReadingsPerDatagram, len(readings))]}
 		for _, peer := range controller.members.Peers() {
 			controller.send(peer.Address, message)
 		}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -15,7 +15,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Status is what operators read of an instance's control state.
+// Status is the control state of an instance that operators read.
 type Status struct {
 	Instance   settings.InstanceName   `json:"instance"`
 	DataCentre settings.DataCentreName `json:"dataCentre"`
@@ -27,11 +27,11 @@
 	Version    catalog.Version         `json:"version"`
 	Peers      []PeerStatus            `json:"peers"`
 	Services   []ServiceStatus         `json:"services"`
-	// Teams are those with a rate limit that asked here, the most refused first.
+	// Teams are the teams with a rate limit that sent requests to this instance, those with the most refused requests first.
 	Teams []quota.Usage `json:"teams,omitempty"`
 }
 
-// PeerStatus is one other instance.
+// PeerStatus is the state of another instance.
 type PeerStatus struct {
 	Name       settings.InstanceName   `json:"name"`
 	DataCentre settings.DataCentreName `json:"dataCentre"`
@@ -42,31 +42,32 @@
 	Version  catalog.Version  `json:"version"`
 }
 
-// ServiceStatus is one service.
+// ServiceStatus is the state of a service.
 type ServiceStatus struct {
 	Name    settings.ServiceName  `json:"name"`
 	Waiting int                   `json:"waiting"`
 	Targets []service.TargetState `json:"targets"`
 }
 
-// ask has the control goroutine answer. The error is the context's when it does not in time.
-func ask[T any](ctx context.Context, controller *Controller, answer func(*Controller) T) (T, error) {
+// query runs a function on the control goroutine and returns its result. The error is that of the context if the control
+// goroutine does not answer in time.
+func query[T any](ctx context.Context, controller *Controller, answer func(*Controller) T) (T, error) {
 	answered := make(chan T, 1)
 	var none T
 	if err := controller.post(ctx, func(controller *Controller) { answered <- answer(controller) }); err != nil {
-		return none, errors.Wrap(err, "ask the control goroutine")
+		return none, errors.Wrap(err, "queue a query for the control goroutine")
 	}
 	select {
 	case value := <-answered:
 		return value, nil
 	case <-ctx.Done():
-		return none, errors.Wrap(ctx.Err(), "wait for the control goroutine")
+		return none, errors.Wrap(ctx.Err(), "wait for the answer of the control goroutine")
 	}
 }
 
-// Status asks the control goroutine for the state that operators read.
+// Status returns the control state that operators read. The error is that of the context.
 func (controller *Controller) Status(ctx context.Context) (Status, error) {
-	return ask(ctx, controller, (*Controller).status)
+	return query(ctx, controller, (*Controller).status)
 }
 
 func (controller *Controller) status() Status {
@@ -88,7 +89,7 @@
 		})
 	}
 	if controller.options.Quota != nil {
-		status.Teams = mostAsking(controller.options.Quota.Usage())
+		status.Teams = topTeams(controller.options.Quota.Usage())
 	}
 	for _, name := range slices.Sorted(maps.Keys(controller.services)) {
 		targets, waiting := controller.services[name].scheduler.State()
@@ -97,19 +98,19 @@
 	return status
 }
 
-// teamsTold bounds the teams that a status tells of.
-const teamsTold = 100
+// maxStatusTeams bounds the teams in a status.
+const maxStatusTeams = 100
 
-// mostAsking returns the teams that asked here, those with the most refused requests first.
-func mostAsking(usages []quota.Usage) []quota.Usage {
+// topTeams returns the teams that sent requests to this instance, those with the most refused requests first.
+func topTeams(usages []quota.Usage) []quota.Usage {
 	usages = slices.DeleteFunc(usages, func(usage quota.Usage) bool { return usage.LetIn == 0 && usage.Refused == 0 })
 	slices.SortFunc(usages, func(left, right quota.Usage) int {
 		return cmp.Or(cmp.Compare(right.Refused, left.Refused), cmp.Compare(right.LetIn, left.LetIn), cmp.Compare(left.Team, right.Team))
 	})
-	return usages[:min(len(usages), teamsTold)]
+	return usages[:min(len(usages), maxStatusTeams)]
 }
 
-// Ready reports whether this instance serves callers.
+// Ready reports whether this instance can serve callers.
 func (controller *Controller) Ready() bool {
 	return controller.ready.Load()
 }
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -6,15 +6,15 @@
 	"github.com/jaywheel/jaywheel/internal/routing"
 )
 
-// Table returns the table in force, or nil while this instance doesn't know what is in force.
+// Table returns the table in force, or nil while this instance does not know which routes are in force.
 func (controller *Controller) Table() *routing.Table {
 	return controller.table.Load()
 }
 
-// AwaitTable waits a moment for the table of an instance that has none yet, and has an old view read for it after a restart. It returns nil
-// when there is none in time.
+// AwaitTable waits a moment for the table of an instance that has none yet, and triggers a stale read of the store after a
+// restart. It returns nil if there is no table in time.
 func (controller *Controller) AwaitTable(ctx context.Context) *routing.Table {
-	ctx, cancel := context.WithTimeout(ctx, awaitTable.Duration())
+	ctx, cancel := context.WithTimeout(ctx, tableWaitTimeout.Duration())
 	defer cancel()
 	controller.readStale()
 	for {
@@ -30,7 +30,8 @@
 	}
 }
 
-// readStale has an old view read, unless that was done just now.
+// readStale triggers a stale read of the store unless one was triggered just now, or the whole fleet starts for the first
+// time.
 func (controller *Controller) readStale() {
 	if controller.options.FleetStarts {
 		return
@@ -38,12 +39,12 @@
 	controller.staleMutex.Lock()
 	defer controller.staleMutex.Unlock()
 	if now := controller.options.Clock.Now(); now >= controller.nextStaleRead {
-		controller.nextStaleRead = now.Add(staleReadEvery)
-		controller.feed.ReadStale()
+		controller.nextStaleRead = now.Add(staleReadInterval)
+		controller.catalogReader.ReadStale()
 	}
 }
 
-// setTable puts a table in force.
+// setTable puts a table in force and wakes the requests that wait for it.
 func (controller *Controller) setTable(table *routing.Table) {
 	controller.table.Store(table)
 	next := make(chan struct{})
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -13,50 +13,54 @@
 )
 
 const (
-	// reportEvery is how often instances report the requests of teams that they have let in: in that time the fleet can exceed a limit by
-	// what callers send to the others.
-	reportEvery = 50 * clock.Millisecond
-	// reportersFor is how long an instance that reports is told of others' requests, whatever its state: callers with old address
-	// answers still come to it.
-	reportersFor = clock.Second
-	// countsWith is how long a serving peer may be silent to count as one that hears this instance's reports.
-	countsWith = 200 * clock.Millisecond
-	// countsWithIdle is that time while nobody reports: beats come every 250 ms.
-	countsWithIdle = 600 * clock.Millisecond
-	// wordEvery is how often an instance that has nothing to report tells the others that it hears them, while any of them reports.
-	wordEvery = 100 * clock.Millisecond
-	// countsWithStandby is that time at an instance that does not serve, which hears each of the others once a second.
-	countsWithStandby = 1500 * clock.Millisecond
-	// shareQuotaEvery is the time between two looks at who counts together.
-	shareQuotaEvery = 50 * clock.Millisecond
-	// sightSettles is how long an instance serves before it has heard from all that live.
-	sightSettles = 3 * clock.Second
-	// servesAtLeast is the number of instances that are taken to serve while that is not known.
-	servesAtLeast = 4
-	// startsAsPart is the part of the fleet with which an instance counts at least that started less than sightSettles ago: after a restart
-	// of all nobody has heard of the others yet, and callers come at once.
-	startsAsPart = 0.45
-	// currentFor is how long ago a fresh view must have been heard of for a key that is not in it to be in no configuration.
-	currentFor = 1500 * clock.Millisecond
+	// reportInterval is the interval at which instances report the requests of teams that they have admitted. Within it, the
+	// fleet can exceed a limit by the requests that callers send to the other instances.
+	reportInterval = 50 * clock.Millisecond
+	// reporterTimeout is how long an instance that has sent a report receives the reports of others, whatever its state:
+	// callers with old address answers still send requests to it.
+	reporterTimeout = clock.Second
+	// maxPeerSilence is how long a serving peer may be silent and still count as receiving the reports of this instance.
+	maxPeerSilence = 200 * clock.Millisecond
+	// maxPeerSilenceIdle is the same while no instance reports: heartbeats arrive every 250 ms.
+	maxPeerSilenceIdle = 600 * clock.Millisecond
+	// emptyReportInterval is the interval at which an instance with nothing to report sends empty reports while other
+	// instances report, to show that it receives their reports.
+	emptyReportInterval = 100 * clock.Millisecond
+	// maxPeerSilenceStandby is the same at an instance that does not serve, which receives a message of each of the others
+	// once a second.
+	maxPeerSilenceStandby = 1500 * clock.Millisecond
+	// quotaShareInterval is the interval at which the quota share is computed.
+	quotaShareInterval = 50 * clock.Millisecond
+	// visibilitySettleTime is how long an instance has to serve until it has received messages of all live instances.
+	visibilitySettleTime = 3 * clock.Second
+	// minServing is the number of serving instances that is assumed while the actual number is not known.
+	minServing = 4
+	// minStartFraction is the minimum quota share of an instance that started less than visibilitySettleTime ago: after a
+	// restart of all instances none has received messages of the others yet, and callers arrive at once.
+	minStartFraction = 0.45
+	// freshViewTimeout is the maximum time since the last fresh view, here or at a peer, for which a key that the view does
+	// not contain counts as being in no configuration.
+	freshViewTimeout = 1500 * clock.Millisecond
 )
 
-// teams is what control keeps of teams.
-type teams struct {
+// teamState is the state that the control loop keeps of teams.
+type teamState struct {
 	// directory finds the teams of the configuration directoryOf.
 	directory   *team.Directory
 	directoryOf *catalog.Configuration
-	// reporters are the instances that reported requests of teams, and when they last did.
+	// reporters are the instances that have reported requests of teams, with the time of the last report.
 	reporters map[membership.Incarnation]clock.Moment
-	// nextReport is when requests are reported next, reportedAt when that was last done.
+	// nextReport is when requests are next reported, reportedAt when they were last reported.
 	nextReport, reportedAt clock.Moment
-	// nextShare is when it is looked at next who counts together.
-	nextShare clock.Moment
-	// freshAt is when this instance or one that it hears last had a fresh view, keys what the API keys are worth since.
-	freshAt clock.Moment
-	keys    atomic.Int32
+	// nextQuotaShare is when the quota share is next computed.
+	nextQuotaShare clock.Moment
+	// freshAt is when this instance or a peer known to it last had a fresh view, keyStatus the resulting status of the API
+	// keys.
+	freshAt   clock.Moment
+	keyStatus atomic.Int32
 }
 
-// setTeams has the teams' limits hold.
+// setTeams applies the rate limits of the teams in the configuration.
 func (controller *Controller) setTeams() {
 	ledger := controller.options.Quota
 	if ledger == nil {
@@ -85,8 +89,8 @@
 	return controller.teams.directory
 }
 
-// hearQuota takes what another instance has let in.
-func (controller *Controller) hearQuota(now clock.Moment, report *quota.Report) {
+// receiveQuotaReport takes in the requests that another instance has admitted.
+func (controller *Controller) receiveQuotaReport(now clock.Moment, report *quota.Report) {
 	controller.teams.reporters[membership.Incarnation(report.Sender)] = now
 	controller.members.SetSpoke(membership.Incarnation(report.Sender))
 	if controller.options.Quota != nil {
@@ -94,35 +98,36 @@
 	}
 }
 
-// reportQuota tells the others what this instance has let in: those that serve or leave, and those that report themselves.
+// reportQuota sends the requests that this instance has admitted to the instances that serve or leave, and to those that
+// report themselves.
 func (controller *Controller) reportQuota(now clock.Moment) {
 	ledger := controller.options.Quota
 	if ledger == nil || now < controller.teams.nextReport {
 		return
 	}
-	controller.teams.nextReport = now.Add(reportEvery)
+	controller.teams.nextReport = now.Add(reportInterval)
 	reports := ledger.Reports(quota.Sender(controller.options.Incarnation))
 	for incarnation, at := range controller.teams.reporters {
-		if now.Since(at) > reportersFor {
+		if now.Since(at) > reporterTimeout {
 			delete(controller.teams.reporters, incarnation)
 		}
 	}
 	if len(reports) == 0 {
-		if len(controller.teams.reporters) == 0 || controller.members.State() != membership.Serving || now.Since(controller.teams.reportedAt) < wordEvery {
+		if len(controller.teams.reporters) == 0 || controller.members.State() != membership.Serving || now.Since(controller.teams.reportedAt) < emptyReportInterval {
 			return
 		}
 		reports = []quota.Report{ledger.EmptyReport(quota.Sender(controller.options.Incarnation))}
 	}
 	controller.teams.reportedAt = now
-	for _, address := range controller.countsQuota() {
+	for _, address := range controller.quotaReportRecipients() {
 		for index := range reports {
 			controller.send(address, &Message{Quota: &reports[index]})
 		}
 	}
 }
 
-// countsQuota are the addresses of instances that let requests in.
-func (controller *Controller) countsQuota() []netip.AddrPort {
+// quotaReportRecipients returns the addresses of the instances that admit requests.
+func (controller *Controller) quotaReportRecipients() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, member := range controller.members.Living() {
 		_, reports := controller.teams.reporters[member.Incarnation]
@@ -133,44 +138,46 @@
 	return addresses
 }
 
-// shareQuota notes which part of the fleet this instance counts together with.
-func (controller *Controller) shareQuota(now clock.Moment) {
-	if controller.options.Quota == nil || now < controller.teams.nextShare {
+// updateQuotaShare passes the fraction of the fleet with which this instance exchanges reports to the quota ledger.
+func (controller *Controller) updateQuotaShare(now clock.Moment) {
+	if controller.options.Quota == nil || now < controller.teams.nextQuotaShare {
 		return
 	}
-	controller.teams.nextShare = now.Add(shareQuotaEvery)
-	controller.options.Quota.SetShare(controller.countsTogether(now))
+	controller.teams.nextQuotaShare = now.Add(quotaShareInterval)
+	controller.options.Quota.SetShare(controller.quotaShare(now))
 }
 
-// countsTogether is the part of the fleet that reports to this instance and hears it. One that serves hears from all that live. Any other, or
-// one that has just begun to serve, hears only those that serve, and few of them when a whole fleet was restarted.
-func (controller *Controller) countsTogether(now clock.Moment) float64 {
-	if now.Since(controller.started) < sightSettles {
-		heard, serving := controller.members.ServingHeard(countsWithStandby)
-		return max(float64(heard)/float64(max(serving, servesAtLeast)), startsAsPart)
+// quotaShare returns the fraction of the fleet that reports to this instance and receives its reports. A serving instance
+// receives messages of all live instances. Any other, or one that has just begun to serve, receives only those of serving
+// instances, and of few of them when a whole fleet was restarted.
+func (controller *Controller) quotaShare(now clock.Moment) float64 {
+	if now.Since(controller.started) < visibilitySettleTime {
+		recent, serving := controller.members.ServingHeard(maxPeerSilenceStandby)
+		return max(float64(recent)/float64(max(serving, minServing)), minStartFraction)
 	}
 	if controller.members.State() != membership.Serving {
-		heard, serving := controller.members.ServingHeard(countsWithStandby)
-		return float64(heard) / float64(max(serving, servesAtLeast))
+		recent, serving := controller.members.ServingHeard(maxPeerSilenceStandby)
+		return float64(recent) / float64(max(serving, minServing))
 	}
-	within := countsWith
+	within := maxPeerSilence
 	if len(controller.teams.reporters) == 0 {
-		within = countsWithIdle
+		within = maxPeerSilenceIdle
 	}
-	heard, serving := controller.members.ServingHeard(within)
-	if now.Since(controller.servesFrom) < sightSettles {
-		return float64(heard) / float64(max(serving, servesAtLeast))
+	recent, serving := controller.members.ServingHeard(within)
+	if now.Since(controller.servingSince) < visibilitySettleTime {
+		return float64(recent) / float64(max(serving, minServing))
 	}
-	return min(float64(heard)/float64(serving), controller.members.Sight())
+	return min(float64(recent)/float64(serving), controller.members.Sight())
 }
 
-// KeyStatus tells what the API keys of the table in force are worth.
+// KeyStatus returns how reliable the API keys of the table in force are.
 func (controller *Controller) KeyStatus() team.KeyStanding {
-	return team.KeyStanding(controller.teams.keys.Load())
+	return team.KeyStanding(controller.teams.keyStatus.Load())
 }
 
-// judgeKeys works out whether a newer configuration may be in force elsewhere, and whether this one is too old to be used.
-func (controller *Controller) judgeKeys(now clock.Moment) {
+// updateKeyStatus determines whether a newer configuration may be in force elsewhere, and whether the configuration of this
+// instance is too old to be used.
+func (controller *Controller) updateKeyStatus(now clock.Moment) {
 	if controller.members.CatalogFresh() {
 		controller.teams.freshAt = now
 	} else if fresh := controller.members.Leaders().Fresh; fresh > 0 {
@@ -181,8 +188,8 @@
 	switch bounds := controller.options.Bounds; {
 	case bounds.FailClosed && silent > bounds.RevokeWithin:
 		standing = team.KeysStale
-	case silent > currentFor || controller.view == nil || controller.versionBehind():
+	case silent > freshViewTimeout || controller.view == nil || controller.versionBehind():
 		standing = team.KeysUnsure
 	}
-	controller.teams.keys.Store(int32(standing))
+	controller.teams.keyStatus.Store(int32(standing))
 }
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -14,7 +14,7 @@
 )
 
 // datagramMost is what fits one packet beside the headers, in bytes.
-const datagramMost = 1400
+const maxDatagramSize = 1400
 
 // manyTeams returns teams with a limit that one request does not reach.
 func manyTeams(count int) []team.Team {
@@ -40,17 +40,17 @@
 			ledger.Take(teams[index].Name)
 		}
 		reports := ledger.Reports(1 << 63)
-		whole := 0
+		total := 0
 		for index := range reports {
 			datagram, err := Encode(&Message{Quota: &reports[index]})
 			require.NoError(t, err)
-			require.LessOrEqual(t, len(datagram), datagramMost)
-			whole += len(datagram)
+			require.LessOrEqual(t, len(datagram), maxDatagramSize)
+			total += len(datagram)
 			decoded, err := Decode(datagram)
 			require.NoError(t, err)
 			require.Equal(t, reports[index], *decoded.Quota)
 		}
-		t.Logf("%d teams: %d datagrams, %d bytes", count, len(reports), whole)
+		t.Logf("%d teams: %d datagrams, %d bytes", count, len(reports), total)
 	}
 }
 
@@ -87,19 +87,19 @@
 		ledger.Hear(*message.Quota)
 		require.LessOrEqual(t, ledger.Usage()[0].Level, full)
 		manual.Advance(1200 * clock.Millisecond)
-		_, letIn := ledger.Take("team-0")
-		require.True(t, letIn)
+		_, admitted := ledger.Take("team-0")
+		require.True(t, admitted)
 	})
 }
 
 // Guards against an unknown key that is refused for good by an instance that has not heard of the newest configuration.
 func TestKeysAreUnsureUntilTheViewIsFresh(t *testing.T) {
-	fixture := newStandby(t, 20, 12)
+	fixture := newStandbyFixture(t, 20, 12)
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
-	fixture.pass(currentFor + 3*tickStandby)
+	fixture.advance(freshViewTimeout + 3*standbyTickInterval)
 	fixture.controller.tick()
 	require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
-	fixture.second()
+	fixture.advanceSecond()
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 }
 
@@ -115,12 +115,12 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			fixture := newStandby(t, 20, 12)
+			fixture := newStandbyFixture(t, 20, 12)
 			fixture.controller.options.Bounds = settings.GatewayBounds{ProbesPerSecond: 60, FailClosed: testCase.closed, RevokeWithin: 5 * clock.Second}
-			fixture.pass(4 * clock.Second)
+			fixture.advance(4 * clock.Second)
 			fixture.controller.tick()
 			require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
-			fixture.pass(2 * clock.Second)
+			fixture.advance(2 * clock.Second)
 			fixture.controller.tick()
 			require.Equal(t, testCase.expected, fixture.controller.KeyStatus())
 		})
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -5,82 +5,83 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-func awakeSkew(options Options) clock.Milliseconds {
+// bootClockSkew returns the time for which the machine has been suspended, up to a constant.
+func bootClockSkew(options Options) clock.Milliseconds {
 	return clock.Milliseconds(options.BootClock.Now()) - clock.Milliseconds(options.Clock.Now())
 }
 
-// advanceTick brings the next tick forward when there is news, and reports whether it did. Hundreds of instances that start together
-// tell of each other within a moment; what follows from that is worked out once for all of them.
+// advanceTick moves the next tick forward if membership has changed, and reports whether it did. Hundreds of instances that
+// start together announce each other within a moment; the consequences are computed once for all of them.
 func (controller *Controller) advanceTick() bool {
-	soon := controller.options.Clock.Now().Add(tickServing)
-	if !controller.heardNews || controller.nextTick <= soon {
+	soon := controller.options.Clock.Now().Add(servingTickInterval)
+	if !controller.membershipDirty || controller.nextTick <= soon {
 		return false
 	}
 	controller.nextTick = soon
 	return true
 }
 
-// tick looks after everything that depends on time.
+// tick does all work that depends on time.
 func (controller *Controller) tick() {
 	now := controller.options.Clock.Now()
-	controller.checkFrozen()
-	if changed := controller.members.Review(); changed || controller.heardNews {
-		controller.heardNews = false
-		controller.membersChanged()
+	controller.checkSuspended()
+	if changed := controller.members.Review(); changed || controller.membershipDirty {
+		controller.membershipDirty = false
+		controller.publishIfServingChanged()
 	}
-	controller.moveOn(now)
-	controller.sendBeats()
+	controller.updateState(now)
+	controller.sendHeartbeats()
 	if controller.members.Leaderless() {
-		// Who is there changes with each word.
+		// Without a leader, each heartbeat may change which instances are present.
 		controller.publishAddresses()
 	}
 	if controller.members.State() == membership.Serving || controller.members.State() == membership.Leaving {
-		share := min(coldShareMost*controller.members.Sight(), 1)
+		share := min(maxColdShareFactor*controller.members.Sight(), 1)
 		for _, state := range controller.services {
 			state.scheduler.SetColdShare(share)
 			state.scheduler.Sweep()
 		}
 		controller.shareReadings(now)
 	}
-	controller.judgeKeys(now)
-	controller.shareQuota(now)
+	controller.updateKeyStatus(now)
+	controller.updateQuotaShare(now)
 	controller.reportQuota(now)
-	if now >= controller.nextClean {
-		controller.nextClean = now.Add(clock.Second)
+	if now >= controller.nextIdleClose {
+		controller.nextIdleClose = now.Add(clock.Second)
 		controller.options.Servers.CloseIdle()
 	}
-	every := tickStandby
+	every := standbyTickInterval
 	if state := controller.members.State(); state == membership.Serving || state == membership.Joining {
-		every = tickServing
+		every = servingTickInterval
 	}
 	controller.nextTick = now.Add(every)
 }
 
-// checkFrozen finds out whether the machine stood still. Timers don't count that time, so nothing else would show that
-// all this instance knows is old: it would send work to servers that left long ago.
-func (controller *Controller) checkFrozen() {
-	skew := awakeSkew(controller.options)
-	jumped := skew - controller.awakeSkew
-	controller.awakeSkew = skew
-	if jumped < frozenFor {
+// checkSuspended detects that the machine was suspended. Timers do not count that time, so nothing else would show that the
+// whole state of this instance is out of date: it would send requests to servers that left long ago.
+func (controller *Controller) checkSuspended() {
+	skew := bootClockSkew(controller.options)
+	jumped := skew - controller.bootClockSkew
+	controller.bootClockSkew = skew
+	if jumped < suspendThreshold {
 		return
 	}
 	controller.options.Registry.Events.Add(EventFrozen, 1)
-	controller.options.Log.Warn().Stringer("for", jumped).Msg("this machine stood still; reading everything anew")
+	controller.options.Log.Warn().Stringer("for", jumped).Msg("machine was suspended; discarding the routing table and reading the whole catalog again")
 	controller.table.Store(nil)
-	controller.viewAt = 0
+	controller.viewAppliedAt = 0
 	for _, state := range controller.services {
 		state.scheduler.Forget()
 	}
-	controller.feed.Refresh()
+	controller.catalogReader.Refresh()
 }
 
-// moveOn changes what this instance is to the fleet, and whether it reads the catalog.
-func (controller *Controller) moveOn(now clock.Moment) {
+// updateState updates the state of this instance in the fleet, and whether it reads the catalog.
+func (controller *Controller) updateState(now clock.Moment) {
 	state := controller.members.State()
 	needed := controller.members.Needed()
-	controller.lead(now, needed || state == membership.Serving)
-	current := controller.viewAt > 0 && controller.view.Configuration != nil
+	controller.updateReaderRole(now, needed || state == membership.Serving)
+	current := controller.viewAppliedAt > 0 && controller.view.Configuration != nil
 	switch {
 	case state == membership.StandingBy && needed && current:
 		controller.changeState(membership.Serving)
@@ -88,14 +89,14 @@
 		controller.changeState(membership.StandingBy)
 	}
 	controller.checkBehind(now)
-	controller.noteCatalog(now)
+	controller.updateCatalogState(now)
 }
 
 func (controller *Controller) changeState(state membership.State) {
 	controller.options.Log.Info().Stringer("before", controller.members.State()).Stringer("now", state).Msg("state")
 	controller.members.SetState(state)
 	if state == membership.Serving {
-		controller.servesFrom = controller.options.Clock.Now()
+		controller.servingSince = controller.options.Clock.Now()
 	}
 	controller.publish()
 }
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -11,15 +11,16 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// ErrNoPeer says that no other serving instance is known.
-var ErrNoPeer = errors.New("no other serving instance is known")
+// ErrNoPeer is returned if no other instance is known whose view could be read.
+var ErrNoPeer = errors.New("no other instance with a view is known")
 
-// errNoView says that this instance has read nothing yet.
-var errNoView = errors.New("nothing has been read yet")
+// errNoView is returned while this instance has no view of the catalog.
+var errNoView = errors.New("this instance has no view of the catalog yet")
 
-// UpdateSince returns what this instance has read after a revision, for another one that can't read it itself.
+// UpdateSince returns the changes of the catalog after a revision, for a peer that cannot read them itself. The error is that
+// of the context, or says that this instance has no view yet.
 func (controller *Controller) UpdateSince(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
-	update, err := ask(ctx, controller, func(controller *Controller) *catalog.Update {
+	update, err := query(ctx, controller, func(controller *Controller) *catalog.Update {
 		if controller.view == nil {
 			return nil
 		}
@@ -36,46 +37,49 @@
 	return *update, nil
 }
 
-// heldLeast is the least time after which a peer asks again for a view with servers that may only have lapsed.
-const heldLeast = 100 * clock.Millisecond
+// minHeldFor is the minimum time after which a peer asks again for a view that holds servers whose entries may only have
+// lapsed.
+const minHeldFor = 100 * clock.Millisecond
 
-// heldFor is the time after which the view may change although the store's revision does not.
+// heldFor returns the time after which the view may change although the revision of the store does not, or 0 if it does not
+// change.
 func (controller *Controller) heldFor() clock.Milliseconds {
 	if controller.view.HeldUntil == 0 {
 		return 0
 	}
-	return max(controller.view.HeldUntil.Since(controller.options.Clock.Now()), heldLeast)
+	return max(controller.view.HeldUntil.Since(controller.options.Clock.Now()), minHeldFor)
 }
 
-// updateTimeout bounds asking a peer for what has changed since a revision: a few backend servers, mostly.
+// updateTimeout bounds a request to a peer for the changes after a revision, which are mostly a few backend servers.
 const updateTimeout = 400 * clock.Millisecond
 
-// FetchFromPeer has the instance asked whose view is worth asking for, by the given call. One that does not answer is left alone for a while.
+// FetchFromPeer reads the changes after a revision from the peer with the freshest view, by the given function. A peer that
+// does not answer is avoided for a while. The error is ErrNoPeer if no such peer is known.
 func (controller *Controller) FetchFromPeer(
 	ctx context.Context, after catalog.Revision, read func(context.Context, netip.AddrPort, catalog.Revision) (catalog.Update, error),
 ) (catalog.Update, error) {
-	address, err := controller.freshAddress(ctx)
+	address, err := controller.freshestPeerAddress(ctx)
 	if err != nil {
 		return catalog.Update{}, err
 	}
-	calling := ctx
+	callCtx := ctx
 	if after > 0 {
 		var cancel context.CancelFunc
-		calling, cancel = context.WithTimeout(ctx, updateTimeout.Duration())
+		callCtx, cancel = context.WithTimeout(ctx, updateTimeout.Duration())
 		defer cancel()
 	}
-	update, err := read(calling, address, after)
+	update, err := read(callCtx, address, after)
 	if err == nil {
 		return update, nil
 	}
 	return update, errors.CombineErrors(err, controller.post(ctx, func(controller *Controller) { controller.members.SetUnreachable(address) }))
 }
 
-// freshAddress is where the instance is whose view is worth asking for, whether it serves or not: the store may turn away just those
-// that serve. The error is ErrNoPeer.
-func (controller *Controller) freshAddress(ctx context.Context) (netip.AddrPort, error) {
-	address, err := ask(ctx, controller, func(controller *Controller) netip.AddrPort {
-		if best := controller.freshPeer(); best != nil {
+// freshestPeerAddress returns the address of the peer whose view is to be read, whether it serves or not: the store may refuse
+// the calls of just those instances that serve. The error is ErrNoPeer if no such peer is known.
+func (controller *Controller) freshestPeerAddress(ctx context.Context) (netip.AddrPort, error) {
+	address, err := query(ctx, controller, func(controller *Controller) netip.AddrPort {
+		if best := controller.freshestPeer(); best != nil {
 			return best.Address
 		}
 		return netip.AddrPort{}
@@ -89,9 +93,10 @@
 	return address, nil
 }
 
-// freshPeer is one of the own data centre if that has anything new, since bytes between data centres are charged; another
-// has the newest configuration, or else the newest view of all, of a peer that reads the store itself if there is one.
-func (controller *Controller) freshPeer() *membership.Member {
+// freshestPeer returns a peer of the own data centre if it has a newer view, since bytes between data centres are charged,
+// unless another peer has a newer configuration. Otherwise it returns the peer with the newest view of all, preferably one
+// that reads the store itself.
+func (controller *Controller) freshestPeer() *membership.Member {
 	var own, best *membership.Member
 	var newest catalog.Version
 	for _, peer := range controller.members.Reachable() {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -15,50 +15,53 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// What instances share of a target's connections: the agreed number is for the whole fleet, of which few serve.
+// connectionShares divides the connection limit of a target between instances: the limit applies to the whole fleet, of which
+// few instances serve.
 const connectionShares = 4
 
-// connections tells how connections to backend servers are made and kept.
+// connections configures how connections to backend servers are opened and kept.
 var connections = settings.Connections{
-	// A server takes a connection within a few milliseconds; one that is gone never does.
+	// A server accepts a connection within a few milliseconds; a server that is gone never does.
 	ConnectTimeout: 250 * clock.Millisecond,
 	// Servers close unused connections after 10 s.
 	IdleMost: 6 * clock.Second,
-	// A request that must not run twice goes only where life was seen this recently; probes show it all the time.
+	// A request that must not run twice is sent only where activity was seen this recently; probes cause activity all the
+	// time.
 	FreshFor: 500 * clock.Millisecond,
-	// The kernel gives a connection up when bytes stay unacknowledged this long.
+	// The kernel closes a connection whose bytes stay unacknowledged for this long.
 	SilentMost: clock.Second,
 }
 
-// refusedComeBack is when a caller may return after backend servers have refused its request: places there are free
-// again after about one request's time.
-const refusedComeBack = 100 * clock.Millisecond
+// refusedRetryAfter is when a caller may retry after backend servers have refused its request: permits are free there again
+// after about the duration of one request.
+const refusedRetryAfter = 100 * clock.Millisecond
 
-// Retries are agreed for the whole fleet, and instances count by themselves.
+// The retry budget is agreed for the whole fleet, but each instance counts only its own retries.
 const (
-	// budgetMargin is the part of the agreed share that is used; a copy that was cancelled on its way counts as well.
-	budgetMargin = 0.9
-	// budgetShares is the number of parts of the agreed slack of which each instance may save up one: few serve, and one
-	// more may have served until just now. Saved retries are for the moment at which a data centre goes dark with requests
-	// on all of its servers.
-	budgetShares = 5
+	// retryBudgetMargin is the fraction of the agreed share that is used; a copy of a request that was cancelled in transit
+	// counts as well.
+	retryBudgetMargin = 0.9
+	// retryBudgetShares is the number of parts of the agreed slack, of which each instance may save up one: few instances
+	// serve, and one more may have served until just now. Saved retries are for the moment at which a data centre fails with
+	// requests on all of its servers.
+	retryBudgetShares = 5
 )
 
-// applyView puts a newer view in force.
+// applyView puts a view in force unless it is older than the present one.
 func (controller *Controller) applyView(view *catalog.View) {
 	now := controller.options.Clock.Now()
 	if controller.view != nil && view.Revision < controller.view.Revision {
 		return
 	}
 	controller.view = view
-	controller.viewAt = now
+	controller.viewAppliedAt = now
 	controller.history.Note(view)
 	controller.publish()
 }
 
-// membersChanged publishes anew unless what has changed concerns only instances that stand by. A hundred of them come within
-// a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
-func (controller *Controller) membersChanged() {
+// publishIfServingChanged publishes again unless a change of membership concerns only standby instances. A hundred of those
+// arrive within a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
+func (controller *Controller) publishIfServingChanged() {
 	serving := controller.members.Serving()
 	if len(serving) > 0 && slices.Equal(serving, controller.serving) {
 		return
@@ -66,15 +69,15 @@
 	controller.publish()
 }
 
-// publish works out owners, offers, probes and routes, and puts a new table in force.
+// publish computes owners, target configurations, probe jobs and routes, and puts a new table in force.
 func (controller *Controller) publish() {
 	defer func() {
-		// One that stands by is ready as well: it takes requests of callers with old answers.
+		// A standby instance is ready as well: it serves the requests of callers with old address answers.
 		controller.ready.Store(controller.members.State() != membership.Leaving && controller.table.Load() != nil)
 	}()
 	controller.serving = controller.members.Serving()
 	controller.publishAddresses()
-	if controller.view == nil || controller.view.Configuration == nil || controller.viewAt == 0 {
+	if controller.view == nil || controller.view.Configuration == nil || controller.viewAppliedAt == 0 {
 		return
 	}
 	controller.setTeams()
@@ -84,7 +87,7 @@
 	controller.setTable(controller.newTable())
 }
 
-// setServices keeps a state for every service that routes or servers name.
+// setServices keeps a state for every service that the routes or the configured limits name.
 func (controller *Controller) setServices() {
 	configuration := controller.view.Configuration
 	for index := range configuration.Routes {
@@ -108,19 +111,20 @@
 		controller.services[name] = state
 	}
 	state.limits = limits
-	state.budget.SetShare(controller.options.Bounds.RetryShare * budgetMargin)
-	state.budget.SetMost(controller.options.Bounds.RetrySlack / budgetShares)
+	state.budget.SetShare(controller.options.Bounds.RetryShare * retryBudgetMargin)
+	state.budget.SetMost(controller.options.Bounds.RetrySlack / retryBudgetShares)
 	state.settings = &settings.Service{
 		Revision:             settings.Revision(controller.view.Configuration.Version),
 		ConnectionsPerTarget: limits.ConnectionsMost,
-		Queue:                settings.Queue{RetryAfter: refusedComeBack},
+		Queue:                settings.Queue{RetryAfter: refusedRetryAfter},
 		Retry:                settings.Retry{Attempts: 1},
 		Connections:          connections,
 		ReportPath:           limits.ProbePath,
 	}
 }
 
-// setOwners chooses the instance that answers for each backend server: a serving one of its data centre if there is any.
+// setOwners chooses the owner of each backend server: a serving instance of its data centre if there is one, otherwise any
+// serving instance.
 func (controller *Controller) setOwners() {
 	byDataCentre := map[settings.DataCentreName][]routing.Instance{}
 	var all []routing.Instance
@@ -146,10 +150,10 @@
 	}
 }
 
-// setTargets hands the backend servers to the schedulers, the connections and the prober.
+// setTargets passes the backend servers to the schedulers, the connection pools and the prober.
 func (controller *Controller) setTargets() {
 	view := controller.view
-	offers := map[settings.ServiceName][]service.Offer{}
+	targetConfigs := map[settings.ServiceName][]service.Offer{}
 	seen := map[settings.TargetName]bool{}
 	clear(controller.targets)
 	var jobs []sensing.Job
@@ -161,26 +165,26 @@
 		}
 		seen[server.Name] = true
 		controller.targets[keyOf(server.Name)] = targetRef{service: server.Service, name: server.Name}
-		offer := controller.offer(server, state)
-		offers[server.Service] = append(offers[server.Service], offer)
+		targetConfig := controller.targetConfig(server, state)
+		targetConfigs[server.Service] = append(targetConfigs[server.Service], targetConfig)
 		controller.setConnections(server, state)
-		if offer.Owned && server.State == catalog.ServerReady && state.limits.ProbePath != "" {
-			jobs = append(jobs, controller.job(server, state, offer.Usable))
+		if targetConfig.Owned && server.State == catalog.ServerReady && state.limits.ProbePath != "" {
+			jobs = append(jobs, controller.probeJob(server, state, targetConfig.Usable))
 		}
 	}
-	for name := range controller.known {
+	for name := range controller.knownServers {
 		if !seen[name] {
-			delete(controller.known, name)
+			delete(controller.knownServers, name)
 			controller.options.Servers.Remove(name)
 		}
 	}
 	for name, state := range controller.services {
-		state.scheduler.SetOffers(offers[name])
+		state.scheduler.SetOffers(targetConfigs[name])
 	}
 	controller.options.SetJobs(jobs)
 }
 
-func (controller *Controller) offer(server *catalog.Server, state *serviceState) service.Offer {
+func (controller *Controller) targetConfig(server *catalog.Server, state *serviceState) service.Offer {
 	return service.Offer{
 		Name: server.Name, Address: server.Address, DataCentre: server.DataCentre, Slots: server.Slots,
 		Local:    server.DataCentre == controller.options.Self.DataCentre,
@@ -190,45 +194,45 @@
 	}
 }
 
-// setConnections keeps a pool for the server. One that has started anew under its name gets a new one: requests on a
-// connection to the old process would be lost.
+// setConnections keeps a connection pool for the server. A server that was restarted under the same name gets a new pool,
+// since requests on a connection to the old process would be lost.
 func (controller *Controller) setConnections(server *catalog.Server, state *serviceState) {
-	before, known := controller.known[server.Name]
+	before, known := controller.knownServers[server.Name]
 	if known && before.Started != server.Started {
 		controller.options.Servers.Remove(server.Name)
 	}
-	controller.known[server.Name] = *server
+	controller.knownServers[server.Name] = *server
 	controller.options.Servers.Set(server.Name, backendserver.Options{
 		Address: server.Address, ConnectionsMost: max(state.limits.ConnectionsMost/connectionShares, 4), Connections: connections,
 	})
 }
 
-// job is how an own target is probed.
-func (controller *Controller) job(server *catalog.Server, state *serviceState, usable bool) sensing.Job {
+// probeJob returns the job with which an owned target is probed.
+func (controller *Controller) probeJob(server *catalog.Server, state *serviceState, usable bool) sensing.Job {
 	scheduler := state.scheduler
 	name := server.Name
-	// The platform bounds probes over the whole fleet; while views differ two instances may probe one target.
+	// The platform limits probes over the whole fleet; while views differ, two instances may probe the same target.
 	fastest := 2 * clock.Second / clock.Milliseconds(controller.options.Bounds.ProbesPerSecond)
-	settled := controller.servesFrom.Add(settlesIn)
+	settled := controller.servingSince.Add(unrequestedProbeDelay)
 	return sensing.Job{
 		Service: server.Service, Target: server.Name, Address: server.Address, Path: state.limits.ProbePath,
 		Due: func() bool {
-			return controller.options.Clock.Now() >= settled || scheduler.Busy(busyWithin)
+			return controller.options.Clock.Now() >= settled || scheduler.Busy(serviceBusyWindow)
 		},
 		Pause: func() clock.Milliseconds {
 			switch {
 			case !usable:
-				return probeUnused
-			case scheduler.Busy(busyWithin):
-				return scheduler.NextProbe(name, probeLearning, max(probeBusy, fastest))
+				return unusedProbePause
+			case scheduler.Busy(serviceBusyWindow):
+				return scheduler.NextProbe(name, learningProbePause, max(busyProbePause, fastest))
 			default:
-				return max(scheduler.NextProbe(name, probeLearning, probeIdle), probeLearning)
+				return max(scheduler.NextProbe(name, learningProbePause, idleProbePause), learningProbePause)
 			}
 		},
 	}
 }
 
-// newTable builds the table that traffic reads.
+// newTable builds the table that request handling reads.
 func (controller *Controller) newTable() *routing.Table {
 	configuration := controller.view.Configuration
 	services := map[settings.ServiceName]*routing.Service{}
@@ -257,7 +261,7 @@
 		Name: route.Name,
 		Settings: settings.Class{
 			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, Aim: route.Aim, Attempts: route.Attempts,
-			BodyMost: bodyMost,
+			BodyMost: maxBodyBytes,
 		},
 		Metrics: controller.options.Registry.Class(key),
 	}}
@@ -267,5 +271,5 @@
 	return entry
 }
 
-// bodyMost is the largest request body that is taken, in bytes; the platform's callers stay within it.
-const bodyMost = 64 << 20
+// maxBodyBytes is the maximum size of a request body; the callers of the platform stay within it.
+const maxBodyBytes = 64 << 20
--- a/internal/fleet/virtual_change_test.go
+++ b/internal/fleet/virtual_change_test.go
@@ -62,7 +62,7 @@
 	storeDown, storeSlow, storeLags, storeForgets, configure, drainServer, removeServer, addServer, takeOut, restartServer,
 }
 
-var lastingKinds = []changeKind{cutOneWay, cutOff, partition, lossy, late, doubled, storeCut, storeRefuses, storeDown, storeSlow, storeLags}
+var timedKinds = []changeKind{cutOneWay, cutOff, partition, lossy, late, doubled, storeCut, storeRefuses, storeDown, storeSlow, storeLags}
 
 // change is one entry of a schedule. One and Other are machines, or servers in the order of their names.
 type change struct {
@@ -80,9 +80,9 @@
 
 // Times of a schedule: the fleet settles at first, and again at the end.
 const (
-	settlesFirst = 7 * clock.Second
-	settlesLast  = 9 * clock.Second
-	longest      = 5 * clock.Second
+	initialSettleTime = 7 * clock.Second
+	finalSettleTime   = 9 * clock.Second
+	maxChangeLength   = 5 * clock.Second
 )
 
 // denseEvery is how many seeds there are for one in which so much happens that the fleet never comes to rest.
@@ -91,7 +91,7 @@
 // newSchedule draws changes for a run. Some come in a row, as when instances are restarted one after the other.
 func newSchedule(options virtualOptions) []change {
 	random := rand.New(rand.NewPCG(options.seed, 11))
-	span := options.length - settlesFirst - settlesLast
+	span := options.length - initialSettleTime - finalSettleTime
 	var schedule []change
 	count := 2 + random.IntN(10)
 	if options.seed%denseEvery == 0 {
@@ -99,8 +99,8 @@
 	}
 	for range count {
 		drawn := change{
-			At:  clock.Moment(settlesFirst + clock.Milliseconds(random.IntN(int(span)/10)*10)),
-			For: clock.Milliseconds(100 + random.IntN(int(longest)/10)*10), Kind: changeKinds[random.IntN(len(changeKinds))],
+			At:  clock.Moment(initialSettleTime + clock.Milliseconds(random.IntN(int(span)/10)*10)),
+			For: clock.Milliseconds(100 + random.IntN(int(maxChangeLength)/10)*10), Kind: changeKinds[random.IntN(len(changeKinds))],
 			One: random.IntN(options.instances), Other: random.IntN(options.instances),
 		}
 		schedule = append(schedule, drawn)
@@ -111,7 +111,7 @@
 			next := drawn
 			next.At = drawn.At.Add(clock.Milliseconds(again+1) * clock.Milliseconds(10*random.IntN(100)))
 			next.One, next.Other = (drawn.One+again+1)%options.instances, random.IntN(options.instances)
-			if next.At < clock.Moment(options.length-settlesLast) {
+			if next.At < clock.Moment(options.length-finalSettleTime) {
 				schedule = append(schedule, next)
 			}
 		}
@@ -121,20 +121,20 @@
 }
 
 // follow begins and ends changes that are due.
-func (fleet *virtualFleet) follow(now clock.Moment) {
+func (fleet *virtualFleet) applySchedule(now clock.Moment) {
 	before := len(fleet.active)
 	fleet.active = slices.DeleteFunc(fleet.active, func(change change) bool {
-		over := now >= fleet.from(change).Add(change.For)
-		if over && change.Kind == storeDown && change.For >= leaseOfServers {
-			fleet.store.lapse(now)
+		over := now >= fleet.startOf(change).Add(change.For)
+		if over && change.Kind == storeDown && change.For >= serverLease {
+			fleet.store.expireServers(now)
 		}
 		return over
 	})
 	refresh := len(fleet.active) != before
-	for len(fleet.schedule) > 0 && now >= fleet.from(fleet.schedule[0]) {
+	for len(fleet.schedule) > 0 && now >= fleet.startOf(fleet.schedule[0]) {
 		next := fleet.schedule[0]
 		fleet.schedule = fleet.schedule[1:]
-		if slices.Contains(lastingKinds, next.Kind) {
+		if slices.Contains(timedKinds, next.Kind) {
 			fleet.active = append(fleet.active, next)
 			refresh = true
 			continue
@@ -145,12 +145,12 @@
 	if refresh {
 		fleet.wire.refresh(fleet.active)
 	}
-	fleet.disturb(now)
-	fleet.store.renew(now)
+	fleet.markDisturbed(now)
+	fleet.store.renewServers(now)
 }
 
 // from is when a change begins, by the fleet's clock.
-func (fleet *virtualFleet) from(change change) clock.Moment {
+func (fleet *virtualFleet) startOf(change change) clock.Moment {
 	return change.At.Add(clock.Second)
 }
 
@@ -192,8 +192,8 @@
 
 // Times of leaving: callers are still let in until listenUntil, and requests end until leaveMost.
 const (
-	listenUntil = 2700 * clock.Millisecond
-	leaveMost   = 6 * clock.Second
+	listenUntil  = 2700 * clock.Millisecond
+	maxLeaveTime = 6 * clock.Second
 )
 
 func (fleet *virtualFleet) leave(machine *machine, now clock.Moment, after clock.Milliseconds) {
@@ -204,13 +204,13 @@
 	// The inbox has room: it is emptied with each step.
 	_ = process.controller.Leave(context.Background())
 	process.leftAt = now
-	process.leavesAt = now.Add(listenUntil + clock.Milliseconds(fleet.random.Float64())*(leaveMost-listenUntil))
+	process.leavesAt = now.Add(listenUntil + clock.Milliseconds(fleet.random.Float64())*(maxLeaveTime-listenUntil))
 	machine.startAt = process.leavesAt.Add(after)
 }
 
 func (fleet *virtualFleet) changeStore(change change, now clock.Moment) {
 	store := fleet.store
-	held := store.held()
+	held := store.listed()
 	var server catalog.Server
 	if len(held) > 0 {
 		server = held[change.One%len(held)]
@@ -218,7 +218,7 @@
 	switch change.Kind {
 	case storeForgets:
 		store.forgotten = store.states[len(store.states)-1].revision
-		store.harmed = now
+		store.degradedAt = now
 	case configure:
 		store.configure()
 	case addServer:
--- a/internal/fleet/virtual_checks_test.go
+++ b/internal/fleet/virtual_checks_test.go
@@ -12,17 +12,17 @@
 
 // What the users hold a fleet to. An instance is in touch when it and the store were undisturbed for contactTime.
 const (
-	contactTime    = 3 * clock.Second
-	configureIn    = 2 * clock.Second
-	drainIn        = 2 * clock.Second
-	evacuateIn     = 5 * clock.Second
-	skewMost       = 5 * clock.Second
-	goneFor        = contactTime + 3*clock.Second
-	keptByCallers  = answerKept
-	leavingNamedIn = listenUntil - keptByCallers
+	contactTime          = 3 * clock.Second
+	configureIn          = 2 * clock.Second
+	drainIn              = 2 * clock.Second
+	evacuateIn           = 5 * clock.Second
+	maxSkew              = 5 * clock.Second
+	maxStoppedAdvertised = contactTime + 3*clock.Second
+	callerTTL            = addressTTL
+	maxLeavingAdvertised = listenUntil - callerTTL
 	// settledIn is when a fleet that is left alone is as it should be, and when instances that are left alone serve whatever the
 	// others do: as long as the users allow an instance that is gone to be named.
-	settledIn = goneFor
+	settleTime = maxStoppedAdvertised
 )
 
 // violation is a check that a fleet did not pass.
@@ -39,13 +39,13 @@
 	sent map[settings.TargetName][]clock.Moment
 	over string
 	// unserved is since when nobody serves in a data centre, misled since when a machine's answers name nobody who runs.
-	unserved map[settings.DataCentreName]clock.Moment
-	misled   map[*machine]clock.Moment
+	unservedSince    map[settings.DataCentreName]clock.Moment
+	misdirectedSince map[*machine]clock.Moment
 	// disturbed is when anything was last disturbed, moved when links or processes were other than by being started or ended.
 	disturbed clock.Moment
-	moved     clock.Moment
+	faultedAt clock.Moment
 	versions  []acknowledged
-	figures   figures
+	worstCase worstCase
 }
 
 type acknowledged struct {
@@ -55,16 +55,16 @@
 
 // figures are the worst that was seen: how long nobody served in a data centre, how late a configuration was where an instance was left alone, how many
 // served, and what a server was sent in a second.
-type figures struct {
+type worstCase struct {
 	unserved, configured clock.Milliseconds
 	serving, sent        int
 }
 
-func (worst *figures) add(other figures) {
-	worst.unserved = max(worst.unserved, other.unserved)
-	worst.configured = max(worst.configured, other.configured)
-	worst.serving = max(worst.serving, other.serving)
-	worst.sent = max(worst.sent, other.sent)
+func (worstCase *worstCase) add(other worstCase) {
+	worstCase.unserved = max(worstCase.unserved, other.unserved)
+	worstCase.configured = max(worstCase.configured, other.configured)
+	worstCase.serving = max(worstCase.serving, other.serving)
+	worstCase.sent = max(worstCase.sent, other.sent)
 }
 
 type namedCheck struct {
@@ -75,19 +75,19 @@
 
 func newChecks(fleet *virtualFleet) *checks {
 	checks := &checks{
-		fleet: fleet, sent: map[settings.TargetName][]clock.Moment{}, unserved: map[settings.DataCentreName]clock.Moment{},
-		misled: map[*machine]clock.Moment{},
+		fleet: fleet, sent: map[settings.TargetName][]clock.Moment{}, unservedSince: map[settings.DataCentreName]clock.Moment{},
+		misdirectedSince: map[*machine]clock.Moment{},
 	}
 	checks.list = []namedCheck{
 		{"configuration never older", checks.neverOlder},
 		{"configuration in time", checks.configuredInTime},
 		{"drained in time", checks.drainedInTime},
 		{"evacuated in time", checks.evacuatedInTime},
-		{"gone ones are not named", checks.goneNotNamed},
-		{"leaving ones are not named", checks.leavingNotNamed},
+		{"gone ones are not named", checks.stoppedNotAdvertised},
+		{"leaving ones are not named", checks.leavingNotAdvertised},
 		{"cold servers", func(clock.Moment) string { return checks.over }},
 		{"someone serves", checks.someoneServes},
-		{"answers name someone", checks.answersNameSomeone},
+		{"answers name someone", checks.answersNameRunningInstance},
 		{"few serve", checks.fewServe},
 		{"settled", checks.settled},
 	}
@@ -109,14 +109,14 @@
 	if known := len(checks.versions); known == 0 || checks.versions[known-1].version < store.version {
 		checks.versions = append(checks.versions, acknowledged{version: store.version, at: now})
 	}
-	checks.disturbed = max(checks.disturbed, store.harmed, store.refusing)
+	checks.disturbed = max(checks.disturbed, store.degradedAt, store.refusingAt)
 	for _, machine := range checks.fleet.machines {
 		checks.disturbed = max(checks.disturbed, machine.disturbed)
 		if machine.process == nil && machine.startAt < never || machine.process != nil && machine.process.leftAt > 0 {
 			checks.disturbed = now
 		}
 		if machine.process != nil && machine.disturbed == now && machine.process.started < now {
-			checks.moved = now
+			checks.faultedAt = now
 		}
 	}
 }
@@ -139,7 +139,7 @@
 }
 
 // inTouch calls a function for each process that is in touch and has routes in force.
-func (checks *checks) inTouch(now clock.Moment, visit func(*machine, *process) string) string {
+func (checks *checks) inContact(now clock.Moment, visit func(*machine, *process) string) string {
 	if !checks.fleet.store.stable(now) {
 		return ""
 	}
@@ -182,12 +182,12 @@
 // configuredInTime also holds, with a later bound, while the store only turns some machines away.
 func (checks *checks) configuredInTime(now clock.Moment) string {
 	store := checks.fleet.store
-	if now.Since(store.harmed) < contactTime {
+	if now.Since(store.degradedAt) < contactTime {
 		return ""
 	}
 	bound := configureIn
 	if !store.stable(now) {
-		bound += skewMost
+		bound += maxSkew
 	}
 	return checks.running(now, func(machine *machine, process *process) string {
 		if !machine.undisturbed(now, contactTime) || process.controller.Table() == nil {
@@ -195,7 +195,7 @@
 		}
 		version := process.controller.view.Configuration.Version
 		late := checks.lateness(version, now)
-		checks.figures.configured = max(checks.figures.configured, late)
+		checks.worstCase.configured = max(checks.worstCase.configured, late)
 		if late > bound {
 			return fmt.Sprintf("follows version %d; a newer one was acknowledged %s ago", version, late)
 		}
@@ -213,7 +213,7 @@
 	if len(due) == 0 {
 		return ""
 	}
-	return checks.inTouch(now, func(_ *machine, process *process) string {
+	return checks.inContact(now, func(_ *machine, process *process) string {
 		view := process.controller.view
 		for index := range view.Servers {
 			server := &view.Servers[index]
@@ -231,7 +231,7 @@
 		if now.Since(at) <= evacuateIn {
 			continue
 		}
-		if wrong := checks.inTouch(now, func(_ *machine, process *process) string {
+		if wrong := checks.inContact(now, func(_ *machine, process *process) string {
 			if !process.controller.view.IsOut(name) {
 				return fmt.Sprintf("still sends to %s, which is out since %s", name, now.Since(at))
 			}
@@ -248,15 +248,15 @@
 	for _, name := range names {
 		recent := slices.DeleteFunc(checks.sent[name], func(at clock.Moment) bool { return now.Since(at) >= clock.Second })
 		checks.sent[name] = append(recent, now)
-		checks.figures.sent = max(checks.figures.sent, len(checks.sent[name]))
-		if most := ownedColdRate*ownedColdOver + ownedColdSlack; float64(len(checks.sent[name])) > most {
+		checks.worstCase.sent = max(checks.worstCase.sent, len(checks.sent[name]))
+		if limit := ownedColdRate*ownedColdFactor + ownedColdSlack; float64(len(checks.sent[name])) > limit {
 			checks.over = fmt.Sprintf("%s was sent %d requests in a second, the last by %s", name, len(checks.sent[name]), process.machine.identity.Name)
 		}
 	}
 }
 
 // places is how many should serve in each data centre.
-func (checks *checks) places(now clock.Moment) (map[settings.DataCentreName]int, int) {
+func (checks *checks) wantedServing(now clock.Moment) (map[settings.DataCentreName]int, int) {
 	living := map[settings.DataCentreName]int{}
 	_ = checks.running(now, func(machine *machine, _ *process) string {
 		living[machine.identity.DataCentre]++
--- a/internal/fleet/virtual_drain_test.go
+++ b/internal/fleet/virtual_drain_test.go
@@ -7,15 +7,15 @@
 )
 
 // playFive plays a schedule to five instances.
-func playFive(t *testing.T, seed uint64, schedule []change) *violation {
-	options := optionsOf(seed)
+func runFiveInstances(t *testing.T, seed uint64, schedule []change) *violation {
+	options := optionsForSeed(seed)
 	options.instances = 5
 	return playVirtual(t, options, schedule).violation
 }
 
 // Guards against an instance that stands by and learns of a drain late because those who serve die between two of their beats.
 func TestDrainedInTimeWhenLeadersDie(t *testing.T) {
-	require.Nil(t, playFive(t, 1138, []change{
+	require.Nil(t, runFiveInstances(t, 1138, []change{
 		{At: 11830, Kind: drainServer},
 		{At: 12480, For: 1780, Kind: killServing, One: 3, Other: 1},
 	}))
@@ -23,7 +23,7 @@
 
 // Guards against a reader that was cut off alone and still holds a removed server when it is in touch again.
 func TestDrainedInTimeAfterACut(t *testing.T) {
-	require.Nil(t, playFive(t, 1043, []change{
+	require.Nil(t, runFiveInstances(t, 1043, []change{
 		{At: 11960, For: 1520, Kind: powerLoss},
 		{At: 17690, Kind: drainServer},
 		{At: 17840, For: 4420, Kind: cutOff, One: 1},
--- a/internal/fleet/virtual_explore_test.go
+++ b/internal/fleet/virtual_explore_test.go
@@ -68,7 +68,7 @@
 			}
 			options := virtualOptions{
 				seed: 1, instances: scope.instances, dataCentres: scope.dataCentres, servers: scope.servers,
-				length: exploreFrom + clock.Milliseconds(scope.depth)*exploreEvery + settledIn + 2*clock.Second,
+				length: exploreFrom + clock.Milliseconds(scope.depth)*exploreEvery + settleTime + 2*clock.Second,
 			}
 			changes := slices.DeleteFunc(alphabet(scope.instances), func(change change) bool {
 				return scope.kinds != nil && !slices.Contains(scope.kinds, change.Kind)
--- a/internal/fleet/virtual_fleet_test.go
+++ b/internal/fleet/virtual_fleet_test.go
@@ -38,7 +38,7 @@
 	active    []change
 	wire      wire
 	steps     int
-	underWay  map[int][]packet
+	inTransit map[int][]packet
 	datagrams int
 }
 
@@ -60,8 +60,8 @@
 	startAt    clock.Moment
 	// disturbed is when its process or its links were last disturbed, and gone when its last process ended.
 	disturbed clock.Moment
-	gone      clock.Moment
-	held      []packet
+	stoppedAt clock.Moment
+	received  []packet
 }
 
 type packet struct {
@@ -76,7 +76,7 @@
 	base := clock.New()
 	fleet := &virtualFleet{
 		options: options, clock: &clock.Clock{Now: func() clock.Moment { return base.Now().Add(clock.Second) }}, schedule: schedule,
-		random: rand.New(rand.NewPCG(options.seed, 7)), byAddress: map[netip.AddrPort]*machine{}, underWay: map[int][]packet{},
+		random: rand.New(rand.NewPCG(options.seed, 7)), byAddress: map[netip.AddrPort]*machine{}, inTransit: map[int][]packet{},
 	}
 	fleet.store = newVirtualStore(fleet)
 	fleet.checks = newChecks(fleet)
@@ -136,11 +136,11 @@
 	defer fleet.mutex.Unlock()
 	fleet.steps++
 	now := fleet.clock.Now()
-	fleet.follow(now)
-	arriving := fleet.underWay[fleet.steps]
-	delete(fleet.underWay, fleet.steps)
+	fleet.applySchedule(now)
+	arriving := fleet.inTransit[fleet.steps]
+	delete(fleet.inTransit, fleet.steps)
 	for _, packet := range arriving {
-		packet.to.held = append(packet.to.held, packet)
+		packet.to.received = append(packet.to.received, packet)
 	}
 	for _, machine := range fleet.machines {
 		fleet.run(machine, now)
@@ -156,7 +156,7 @@
 	}
 	process := machine.process
 	if process == nil {
-		machine.held = nil
+		machine.received = nil
 		return
 	}
 	if process.frozen(now) {
@@ -171,23 +171,23 @@
 		return
 	}
 	if serves := process.controller.members.State(); serves == membership.Serving || serves == membership.Leaving || now >= process.nextProbe {
-		fleet.checks.noteSent(process, process.use(process.time(now)), now)
+		fleet.checks.noteSent(process, process.sendRequests(process.time(now)), now)
 	}
-	for _, packet := range machine.held {
+	for _, packet := range machine.received {
 		if message, err := Decode(packet.text); err == nil {
-			process.controller.hear(message)
+			process.controller.receiveMessage(message)
 		}
 	}
-	machine.held = nil
+	machine.received = nil
 	process.takeEvents()
 	process.tick(now)
 }
 
 func (fleet *virtualFleet) start(machine *machine, now clock.Moment) {
-	first := machine.gone == 0 && machine.generation == 0 && now < clock.Moment(5*clock.Second)
+	first := machine.stoppedAt == 0 && machine.generation == 0 && now < clock.Moment(5*clock.Second)
 	machine.startAt = never
 	machine.disturbed = now
-	machine.gone = 0
+	machine.stoppedAt = 0
 	machine.process = newProcess(fleet, machine, first)
 }
 
@@ -198,8 +198,8 @@
 	}
 	machine.process.stop()
 	machine.process = nil
-	machine.held = nil
-	machine.gone = now
+	machine.received = nil
+	machine.stoppedAt = now
 	machine.disturbed = now
 }
 
@@ -221,7 +221,7 @@
 	fleet.datagrams++
 	for range fleet.wire.copies(from, receiver) {
 		arrives := fleet.steps + 1 + int(fleet.wire.delay(from, receiver)/virtualStep)
-		fleet.underWay[arrives] = append(fleet.underWay[arrives], packet{to: receiver, text: text})
+		fleet.inTransit[arrives] = append(fleet.inTransit[arrives], packet{to: receiver, text: text})
 	}
 }
 
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -21,7 +21,7 @@
 
 // process is one run of an instance: a controller that is driven step by step, and a reader that runs by itself.
 type process struct {
-	consumer
+	loadGenerator
 
 	fleet   *virtualFleet
 	machine *machine
@@ -30,10 +30,10 @@
 	started clock.Moment
 
 	// gate is open when nil; calls of the reader wait for it while the process is frozen. It is guarded by the fleet's mutex.
-	gate       chan struct{}
-	frozenTill clock.Moment
-	suspends   bool
-	frozenAt   clock.Moment
+	gate        chan struct{}
+	frozenUntil clock.Moment
+	suspends    bool
+	frozenAt    clock.Moment
 	// suspended is the time, in whole steps, that the process's clock did not count.
 	suspended atomic.Int64
 
@@ -92,7 +92,7 @@
 }
 
 func (process *process) frozen(now clock.Moment) bool {
-	return now < process.frozenTill
+	return now < process.frozenUntil
 }
 
 // freeze stops the process. A suspended machine's clock stands still as well.
@@ -101,7 +101,7 @@
 		return
 	}
 	process.gate = make(chan struct{})
-	process.frozenAt, process.frozenTill, process.suspends = now, now.Add(length), suspends
+	process.frozenAt, process.frozenUntil, process.suspends = now, now.Add(length), suspends
 }
 
 func (process *process) thaw(now clock.Moment) {
@@ -113,9 +113,9 @@
 }
 
 // pass waits while the process is frozen, and for the time that half of a call takes, which no two processes end at one moment.
-func (process *process) pass(ctx context.Context, length clock.Milliseconds) error {
-	unlike := clock.Milliseconds(process.machine.number+1) * clock.Millisecond / 1000
-	err := sleep(ctx, length+unlike)
+func (process *process) awaitCall(ctx context.Context, length clock.Milliseconds) error {
+	offset := clock.Milliseconds(process.machine.number+1) * clock.Millisecond / 1000
+	err := sleep(ctx, length+offset)
 	for {
 		process.fleet.mutex.Lock()
 		gate := process.gate
@@ -131,14 +131,14 @@
 
 // fromPeer reads a peer's catalog, as the gateway does over HTTP.
 func (process *process) fromPeer(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
-	if err := process.pass(ctx, callTime); err != nil {
+	if err := process.awaitCall(ctx, callTime); err != nil {
 		return catalog.Update{}, err
 	}
 	return process.controller.FetchFromPeer(ctx, after, process.askPeer)
 }
 
 func (process *process) askPeer(ctx context.Context, address netip.AddrPort, after catalog.Revision) (catalog.Update, error) {
-	if err := process.pass(ctx, callTime); err != nil {
+	if err := process.awaitCall(ctx, callTime); err != nil {
 		return catalog.Update{}, err
 	}
 	peer, reached := process.reach(address)
@@ -150,8 +150,8 @@
 		return catalog.Update{}, errNoAnswer
 	}
 	update, err := peer.controller.UpdateSince(ctx, after)
-	if passed := process.pass(ctx, callTime); passed != nil {
-		return catalog.Update{}, passed
+	if awaitErr := process.awaitCall(ctx, callTime); awaitErr != nil {
+		return catalog.Update{}, awaitErr
 	}
 	return update, err
 }
@@ -186,7 +186,7 @@
 		process.controller.tick()
 	}
 	if now >= process.nextProbe {
-		process.nextProbe = now.Add(ownedPause)
+		process.nextProbe = now.Add(ownedInterval)
 		process.probe(process.time(now))
 	}
 }
--- a/internal/fleet/virtual_revoke_test.go
+++ b/internal/fleet/virtual_revoke_test.go
@@ -37,7 +37,7 @@
 
 // revocations plays a revocation and returns how long each instance went on to serve the key, in order.
 func revocations(t *testing.T, instances int, cut func(number int) bool) []clock.Milliseconds {
-	var lasted []clock.Milliseconds
+	var delays []clock.Milliseconds
 	synctest.Test(t, func(*testing.T) {
 		options := virtualOptions{seed: 5, instances: instances, dataCentres: 3, servers: 6}
 		var schedule []change
@@ -71,11 +71,11 @@
 		for number, machine := range fleet.machines {
 			require.NotZero(t, ended[number], "instance %d still serves the key", number)
 			require.True(t, machine.process.serves(keptKey))
-			lasted = append(lasted, ended[number].Since(revoked))
+			delays = append(delays, ended[number].Since(revoked))
 		}
 	})
-	slices.Sort(lasted)
-	return lasted
+	slices.Sort(delays)
+	return delays
 }
 
 // serves reports whether a request with the key would be let in.
@@ -91,8 +91,8 @@
 // hardestCut leaves the fewest instances that the store reaches. Above revokedInstances only that is played: the race detector makes a large
 // fleet slow.
 const (
-	hardestCut       = "nine in ten are cut off from the store"
-	revokedInstances = 117
+	hardestCut          = "nine in ten are cut off from the store"
+	maxInstancesAllCuts = 117
 )
 
 // Guards against a revoked key that goes on to work at instances that have a path to one which knows.
@@ -107,13 +107,13 @@
 	}
 	for _, instances := range []int{17, 117, 312} {
 		for _, testCase := range cases {
-			if instances > revokedInstances && testCase.name != hardestCut {
+			if instances > maxInstancesAllCuts && testCase.name != hardestCut {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d instances, %s", instances, testCase.name), func(t *testing.T) {
-				lasted := revocations(t, instances, testCase.cut)
-				t.Logf("half after %s, 99 in 100 after %s, all after %s", lasted[len(lasted)/2], lasted[len(lasted)*99/100], lasted[len(lasted)-1])
-				require.LessOrEqual(t, float64(lasted[len(lasted)-1]), float64(revokedWithin))
+				delays := revocations(t, instances, testCase.cut)
+				t.Logf("half after %s, 99 in 100 after %s, all after %s", delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1])
+				require.LessOrEqual(t, float64(delays[len(delays)-1]), float64(revokedWithin))
 			})
 		}
 	}
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -12,15 +12,15 @@
 )
 
 // goneNotNamed is what the users judge: an instance that ended long ago is not named to callers, unless nobody else is.
-func (checks *checks) goneNotNamed(now clock.Moment) string {
-	return checks.inTouch(now, func(_ *machine, process *process) string {
+func (checks *checks) stoppedNotAdvertised(now clock.Moment) string {
+	return checks.inContact(now, func(_ *machine, process *process) string {
 		book := process.controller.book.Load()
-		if book == nil || len(book.all) < 2 {
+		if book == nil || len(book.addresses) < 2 {
 			return ""
 		}
 		for _, machine := range checks.fleet.machines {
-			if machine.process == nil && now.Since(machine.gone) > goneFor && slices.Contains(book.all, machine.identity.Caller) {
-				return fmt.Sprintf("names %s, which ended %s ago", machine.identity.Name, now.Since(machine.gone))
+			if machine.process == nil && now.Since(machine.stoppedAt) > maxStoppedAdvertised && slices.Contains(book.addresses, machine.identity.Caller) {
+				return fmt.Sprintf("names %s, which ended %s ago", machine.identity.Name, now.Since(machine.stoppedAt))
 			}
 		}
 		return ""
@@ -28,14 +28,14 @@
 }
 
 // leavingNotNamed is what a shutdown rests on: whoever holds an address answer from before comes while it still listens.
-func (checks *checks) leavingNotNamed(now clock.Moment) string {
+func (checks *checks) leavingNotAdvertised(now clock.Moment) string {
 	for _, leaving := range checks.fleet.machines {
-		if leaving.process == nil || leaving.process.leftAt == 0 || now.Since(leaving.process.leftAt) <= leavingNamedIn ||
+		if leaving.process == nil || leaving.process.leftAt == 0 || now.Since(leaving.process.leftAt) <= maxLeavingAdvertised ||
 			leaving.process.leftAt.Since(leaving.disturbed) < contactTime {
 			continue
 		}
-		if wrong := checks.inTouch(now, func(machine *machine, process *process) string {
-			if book := process.controller.book.Load(); book != nil && slices.Contains(book.all, leaving.identity.Caller) {
+		if wrong := checks.inContact(now, func(machine *machine, process *process) string {
+			if book := process.controller.book.Load(); book != nil && slices.Contains(book.addresses, leaving.identity.Caller) {
 				return fmt.Sprintf("names %s, which leaves since %s", leaving.identity.Name, now.Since(leaving.process.leftAt))
 			}
 			return ""
@@ -50,7 +50,7 @@
 func (checks *checks) someoneServes(now clock.Moment) string {
 	able := map[settings.DataCentreName]settings.InstanceName{}
 	_ = checks.running(now, func(machine *machine, process *process) string {
-		if machine.undisturbed(now, settledIn) && process.leftAt == 0 && process.controller.Table() != nil {
+		if machine.undisturbed(now, settleTime) && process.leftAt == 0 && process.controller.Table() != nil {
 			able[machine.identity.DataCentre] = machine.identity.Name
 		}
 		return ""
@@ -59,15 +59,15 @@
 	for number := range checks.fleet.options.dataCentres {
 		name := checks.fleet.dataCentre(number)
 		if serving[name] > 0 || able[name] == "" {
-			delete(checks.unserved, name)
+			delete(checks.unservedSince, name)
 			continue
 		}
-		if _, noted := checks.unserved[name]; !noted {
-			checks.unserved[name] = now
+		if _, noted := checks.unservedSince[name]; !noted {
+			checks.unservedSince[name] = now
 		}
-		gap := now.Since(checks.unserved[name])
-		checks.figures.unserved = max(checks.figures.unserved, gap)
-		if gap > settledIn {
+		gap := now.Since(checks.unservedSince[name])
+		checks.worstCase.unserved = max(checks.worstCase.unserved, gap)
+		if gap > settleTime {
 			return fmt.Sprintf("nobody serves in %s for %s, though %s could", name, gap, able[name])
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // answersNameSomeone holds for an instance that was left alone for settledIn.
-func (checks *checks) answersNameSomeone(now clock.Moment) string {
+func (checks *checks) answersNameRunningInstance(now clock.Moment) string {
 	running := map[string]bool{}
 	_ = checks.running(now, func(machine *machine, _ *process) string {
 		running[machine.identity.Caller] = true
@@ -83,15 +83,15 @@
 	})
 	return checks.running(now, func(machine *machine, process *process) string {
 		book := process.controller.book.Load()
-		named := book != nil && slices.ContainsFunc(book.all, func(address string) bool { return running[address] })
-		if named || !machine.undisturbed(now, settledIn) || process.leftAt > 0 {
-			delete(checks.misled, machine)
+		advertised := book != nil && slices.ContainsFunc(book.addresses, func(address string) bool { return running[address] })
+		if advertised || !machine.undisturbed(now, settleTime) || process.leftAt > 0 {
+			delete(checks.misdirectedSince, machine)
 			return ""
 		}
-		if _, noted := checks.misled[machine]; !noted {
-			checks.misled[machine] = now
+		if _, noted := checks.misdirectedSince[machine]; !noted {
+			checks.misdirectedSince[machine] = now
 		}
-		if since := now.Since(checks.misled[machine]); since > settledIn {
+		if since := now.Since(checks.misdirectedSince[machine]); since > settleTime {
 			return fmt.Sprintf("has named nobody who runs for %s", since)
 		}
 		return ""
@@ -104,33 +104,33 @@
 	for _, count := range serving {
 		sum += count
 	}
-	checks.figures.serving = max(checks.figures.serving, sum)
-	if now.Since(checks.moved) < settledIn || checks.fleet.store.harmed > 0 && now.Since(checks.fleet.store.harmed) < settledIn {
+	checks.worstCase.serving = max(checks.worstCase.serving, sum)
+	if now.Since(checks.faultedAt) < settleTime || checks.fleet.store.degradedAt > 0 && now.Since(checks.fleet.store.degradedAt) < settleTime {
 		return ""
 	}
 	dataCentres := min(checks.fleet.options.dataCentres, checks.fleet.options.instances)
-	most := 2 * dataCentres * ((3 + dataCentres - 1) / dataCentres)
-	if sum > most {
-		return fmt.Sprintf("%d serve, %d at most: %v", sum, most, serving)
+	limit := 2 * dataCentres * ((3 + dataCentres - 1) / dataCentres)
+	if sum > limit {
+		return fmt.Sprintf("%d serve, %d at most: %v", sum, limit, serving)
 	}
 	return ""
 }
 
 // settled says how a fleet is that was left alone for settledIn.
 func (checks *checks) settled(now clock.Moment) string {
-	if now.Since(checks.disturbed) < settledIn {
+	if now.Since(checks.disturbed) < settleTime {
 		return ""
 	}
-	living, places := checks.places(now)
+	living, wanted := checks.wantedServing(now)
 	serving := checks.serving(now)
 	for name, count := range living {
-		if wanted := min(count, places); serving[name] != wanted {
-			return fmt.Sprintf("%d serve in %s, not %d of %d", serving[name], name, wanted, count)
+		if expected := min(count, wanted); serving[name] != expected {
+			return fmt.Sprintf("%d serve in %s, not %d of %d", serving[name], name, expected, count)
 		}
 	}
 	owners := checks.ownersOfAny(now)
 	states := checks.fleet.store.states
-	unchanged := now.Since(states[len(states)-1].at) >= settledIn
+	unchanged := now.Since(states[len(states)-1].at) >= settleTime
 	return checks.running(now, func(machine *machine, process *process) string {
 		controller := process.controller
 		serves := controller.members.State() == membership.Serving
@@ -144,7 +144,7 @@
 		case serves && checks.complete() && controller.members.Sight() < 1:
 			return fmt.Sprintf("sees %.2f of a fleet that is complete", controller.members.Sight())
 		}
-		return checks.named(controller)
+		return checks.advertisedServe(controller)
 	})
 }
 
@@ -165,8 +165,8 @@
 }
 
 // named says whether addresses are those of instances that serve.
-func (checks *checks) named(controller *Controller) string {
-	for _, address := range controller.book.Load().all {
+func (checks *checks) advertisedServe(controller *Controller) string {
+	for _, address := range controller.book.Load().addresses {
 		serves := slices.ContainsFunc(checks.fleet.machines, func(machine *machine) bool {
 			return machine.process != nil && machine.identity.Caller == address && machine.process.controller.members.State() == membership.Serving
 		})
--- a/internal/fleet/virtual_store_test.go
+++ b/internal/fleet/virtual_store_test.go
@@ -14,10 +14,10 @@
 
 // Times of the store.
 const (
-	slowAnswer = 400 * clock.Millisecond
-	lagOfCopy  = 1500 * clock.Millisecond
+	slowAnswerDelay = 400 * clock.Millisecond
+	replicaLag      = 1500 * clock.Millisecond
 	// leaseOfServers is how long a server's entry stays while it can't be renewed.
-	leaseOfServers = 3 * clock.Second
+	serverLease = 3 * clock.Second
 )
 
 // virtualStore is a platform's store. All that it ever held is kept, so that an answer may be from a copy that lags. It is guarded by the
@@ -27,12 +27,12 @@
 	states  []storeState
 	changed chan struct{}
 	// refusing and harmed are when it last turned machines away, and when it last was down, slow or behind.
-	refusing, harmed clock.Moment
-	version          catalog.Version
-	configuration    *catalog.Configuration
-	forgotten        catalog.Revision
-	servers          int
-	lapsed           []lapsedServer
+	refusingAt, degradedAt clock.Moment
+	version                catalog.Version
+	configuration          *catalog.Configuration
+	forgotten              catalog.Revision
+	servers                int
+	expired                []expiredServer
 	// left is when servers became leaving, or were removed for good, while the store was stable.
 	left map[settings.TargetName]clock.Moment
 	// out is since when data centres are out.
@@ -53,7 +53,7 @@
 		fleet: fleet, changed: make(chan struct{}), left: map[settings.TargetName]clock.Moment{}, out: map[settings.DataCentreName]clock.Moment{},
 		states: []storeState{{revision: 1, items: map[catalog.Key]catalog.Item{}}},
 	}
-	first := coldView(fleet.options.servers, fleet.options.dataCentres)
+	first := newColdView(fleet.options.servers, fleet.options.dataCentres)
 	for name, limits := range first.Configuration.Services {
 		limits.ProbePath = "/load"
 		first.Configuration.Services[name] = limits
@@ -90,13 +90,13 @@
 }
 
 func (store *virtualStore) addServer() {
-	server := coldView(store.servers+1, store.fleet.options.dataCentres).Servers[store.servers]
+	server := newColdView(store.servers+1, store.fleet.options.dataCentres).Servers[store.servers]
 	store.servers++
 	store.write(catalog.ServerKey(server.Name), &catalog.Item{Server: &server})
 }
 
 // held returns the servers that the newest state lists, by key.
-func (store *virtualStore) held() []catalog.Server {
+func (store *virtualStore) listed() []catalog.Server {
 	items := store.states[len(store.states)-1].items
 	var servers []catalog.Server
 	for _, key := range slices.Sorted(maps.Keys(items)) {
@@ -134,14 +134,14 @@
 
 // stable reports whether the store was undisturbed for long enough.
 func (store *virtualStore) stable(now clock.Moment) bool {
-	return now.Since(max(store.refusing, store.harmed)) >= contactTime
+	return now.Since(max(store.refusingAt, store.degradedAt)) >= contactTime
 }
 
 // source is the store as a process reaches it.
 func (store *virtualStore) source(process *process) catalog.Source {
 	return catalog.Source{
-		ReadAll:   func(ctx context.Context) (catalog.Snapshot, error) { return store.read(ctx, process, store.seen) },
-		ReadStale: func(ctx context.Context) (catalog.Snapshot, error) { return store.read(ctx, process, store.old) },
+		ReadAll:   func(ctx context.Context) (catalog.Snapshot, error) { return store.read(ctx, process, store.visible) },
+		ReadStale: func(ctx context.Context) (catalog.Snapshot, error) { return store.read(ctx, process, store.lagged) },
 		Watch: func(ctx context.Context, after catalog.Revision, wait clock.Milliseconds) (catalog.Changes, error) {
 			return store.watch(ctx, process, after, wait)
 		},
@@ -160,43 +160,43 @@
 	for _, key := range slices.Sorted(maps.Keys(state.items)) {
 		snapshot.Items = append(snapshot.Items, state.items[key])
 	}
-	return snapshot, process.pass(ctx, callTime)
+	return snapshot, process.awaitCall(ctx, callTime)
 }
 
 // admit takes a call, or refuses it, or lets it hang.
 func (store *virtualStore) admit(ctx context.Context, process *process) error {
-	if err := process.pass(ctx, callTime); err != nil {
+	if err := process.awaitCall(ctx, callTime); err != nil {
 		return err
 	}
 	store.fleet.mutex.Lock()
-	end := store.fleet.wire.ends[process.machine.number]
-	hangs, slow := end.storeOff || store.fleet.lasting(storeDown), store.fleet.lasting(storeSlow)
+	end := store.fleet.wire.links[process.machine.number]
+	hangs, slow := end.storeUnreachable || store.fleet.isActive(storeDown), store.fleet.isActive(storeSlow)
 	store.fleet.mutex.Unlock()
 	switch {
 	case hangs:
 		<-ctx.Done()
-		return errors.CombineErrors(process.pass(ctx, 0), ctx.Err())
+		return errors.CombineErrors(process.awaitCall(ctx, 0), ctx.Err())
 	case end.storeRefuses:
-		return errors.CombineErrors(process.pass(ctx, callTime), errStoreRefuses)
+		return errors.CombineErrors(process.awaitCall(ctx, callTime), errStoreRefuses)
 	case slow:
-		return process.pass(ctx, slowAnswer)
+		return process.awaitCall(ctx, slowAnswerDelay)
 	default:
 		return nil
 	}
 }
 
 // seen is the state from which the store answers.
-func (store *virtualStore) seen() *storeState {
-	if store.fleet.lasting(storeLags) {
-		return store.old()
+func (store *virtualStore) visible() *storeState {
+	if store.fleet.isActive(storeLags) {
+		return store.lagged()
 	}
 	return &store.states[len(store.states)-1]
 }
 
 // old is the state of a copy that lags.
-func (store *virtualStore) old() *storeState {
+func (store *virtualStore) lagged() *storeState {
 	newest := len(store.states) - 1
-	for now := store.fleet.clock.Now(); newest > 0 && now.Since(store.states[newest].at) < lagOfCopy; {
+	for now := store.fleet.clock.Now(); newest > 0 && now.Since(store.states[newest].at) < replicaLag; {
 		newest--
 	}
 	return &store.states[newest]
@@ -212,14 +212,14 @@
 		changes, known := store.since(after)
 		changed := store.changed
 		store.fleet.mutex.Unlock()
-		left := end.Since(store.fleet.clock.Now())
+		remaining := end.Since(store.fleet.clock.Now())
 		switch {
 		case !known:
-			return changes, errors.CombineErrors(process.pass(ctx, callTime), catalog.ErrGone)
-		case len(changes.Set)+len(changes.Removed) > 0 || left <= 0:
-			return changes, process.pass(ctx, callTime)
+			return changes, errors.CombineErrors(process.awaitCall(ctx, callTime), catalog.ErrGone)
+		case len(changes.Set)+len(changes.Removed) > 0 || remaining <= 0:
+			return changes, process.awaitCall(ctx, callTime)
 		}
-		waiting, cancel := context.WithTimeout(ctx, left.Duration())
+		waiting, cancel := context.WithTimeout(ctx, remaining.Duration())
 		select {
 		case <-changed:
 		case <-waiting.Done():
@@ -230,7 +230,7 @@
 
 // since returns what has changed after a revision, if that is known.
 func (store *virtualStore) since(after catalog.Revision) (catalog.Changes, bool) {
-	state := store.seen()
+	state := store.visible()
 	changes := catalog.Changes{Revision: max(state.revision, after)}
 	if after < store.forgotten {
 		return changes, false
@@ -246,7 +246,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(state.items)) {
 		item := state.items[key]
-		if was, held := before.items[key]; !held || !same(was, item) {
+		if was, held := before.items[key]; !held || !sameItem(was, item) {
 			changes.Set = append(changes.Set, item)
 		}
 	}
@@ -258,34 +258,34 @@
 	return changes, true
 }
 
-func same(left, right catalog.Item) bool {
+func sameItem(left, right catalog.Item) bool {
 	return left.Server == right.Server && left.Configuration == right.Configuration && left.Out == right.Out
 }
 
 // lapsedServer is a server whose entry has lapsed and that writes it anew.
-type lapsedServer struct {
+type expiredServer struct {
 	server catalog.Server
 	backAt clock.Moment
 }
 
 // lapse removes the entries of servers that could not renew them, as the store does after it was away for long. They are back within
 // two seconds.
-func (store *virtualStore) lapse(now clock.Moment) {
-	for index, server := range store.held() {
+func (store *virtualStore) expireServers(now clock.Moment) {
+	for index, server := range store.listed() {
 		if server.State == catalog.ServerReady {
 			store.write(catalog.ServerKey(server.Name), nil)
-			store.lapsed = append(store.lapsed, lapsedServer{server: server, backAt: now.Add(clock.Milliseconds(index * 317 % 2000))})
+			store.expired = append(store.expired, expiredServer{server: server, backAt: now.Add(clock.Milliseconds(index * 317 % 2000))})
 		}
 	}
 }
 
 // renew has servers write their entries anew.
-func (store *virtualStore) renew(now clock.Moment) {
-	store.lapsed = slices.DeleteFunc(store.lapsed, func(lapsed lapsedServer) bool {
-		if now < lapsed.backAt {
+func (store *virtualStore) renewServers(now clock.Moment) {
+	store.expired = slices.DeleteFunc(store.expired, func(expired expiredServer) bool {
+		if now < expired.backAt {
 			return false
 		}
-		store.write(catalog.ServerKey(lapsed.server.Name), &catalog.Item{Server: &lapsed.server})
+		store.write(catalog.ServerKey(expired.server.Name), &catalog.Item{Server: &expired.server})
 		return true
 	})
 }
--- a/internal/fleet/virtual_test.go
+++ b/internal/fleet/virtual_test.go
@@ -22,7 +22,7 @@
 // sizes are the numbers of instances that seeds choose from.
 var sizes = []int{5, 5, 6, 7, 8, 9, 10, 12, 13, 17, 30, 100}
 
-func optionsOf(seed uint64) virtualOptions {
+func optionsForSeed(seed uint64) virtualOptions {
 	options := virtualOptions{
 		seed: seed, instances: sizes[seed%uint64(len(sizes))], dataCentres: 1 + int(seed/5%4), servers: 6, length: 30 * clock.Second,
 	}
@@ -33,19 +33,19 @@
 }
 
 // played is what came of a run.
-type played struct {
+type runResult struct {
 	violation *violation
-	figures   figures
+	worstCase worstCase
 	steps     int
 	datagrams int
 }
 
-func playVirtual(t *testing.T, options virtualOptions, schedule []change) played {
-	var result played
+func playVirtual(t *testing.T, options virtualOptions, schedule []change) runResult {
+	var result runResult
 	synctest.Test(t, func(*testing.T) {
 		fleet := newVirtualFleet(options, schedule)
 		result.violation = fleet.play()
-		result.figures, result.steps, result.datagrams = fleet.checks.figures, fleet.steps, fleet.datagrams
+		result.worstCase, result.steps, result.datagrams = fleet.checks.worstCase, fleet.steps, fleet.datagrams
 	})
 	return result
 }
@@ -54,18 +54,18 @@
 // forgets, all at once. Whatever the order, the fleet must keep what the checks say.
 func TestVirtualFleet(t *testing.T) {
 	var mutex sync.Mutex
-	var all played
+	var all runResult
 	t.Run("seeds", func(t *testing.T) {
 		for seed := *virtualSeed; seed < *virtualSeed+uint64(*virtualSeeds); seed++ {
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 				t.Parallel()
-				options := optionsOf(seed)
+				options := optionsForSeed(seed)
 				schedule := newSchedule(options)
 				result := playVirtual(t, options, schedule)
 				mutex.Lock()
 				all.steps += result.steps
 				all.datagrams += result.datagrams
-				all.figures.add(result.figures)
+				all.worstCase.add(result.worstCase)
 				mutex.Unlock()
 				if result.violation != nil {
 					failVirtual(t, options, schedule, result.violation)
@@ -74,12 +74,12 @@
 		}
 	})
 	t.Logf("%d seeds, %d steps, %d datagrams; at worst: nobody served in a data centre for %s, a configuration was %s late, %d served, a cold server got %d in a second",
-		*virtualSeeds, all.steps, all.datagrams, all.figures.unserved, all.figures.configured, all.figures.serving, all.figures.sent)
+		*virtualSeeds, all.steps, all.datagrams, all.worstCase.unserved, all.worstCase.configured, all.worstCase.serving, all.worstCase.sent)
 }
 
 // A seed that plays differently each time could not be traced, nor its schedule be made shorter.
 func TestVirtualFleetRepeats(t *testing.T) {
-	options := optionsOf(3)
+	options := optionsForSeed(3)
 	schedule := newSchedule(options)
 	first := playVirtual(t, options, schedule)
 	require.Equal(t, first, playVirtual(t, options, schedule))
--- a/internal/fleet/virtual_wire_test.go
+++ b/internal/fleet/virtual_wire_test.go
@@ -9,7 +9,7 @@
 // wire is what happens to datagrams, and to calls between instances, while changes last.
 type wire struct {
 	fleet *virtualFleet
-	ends  []wireEnd
+	links []link
 	// oneWay are the pairs between which nothing passes.
 	oneWay map[[2]int]bool
 	// parts is into how many parts the fleet is cut, by data centre if there are enough; 0 when it is whole.
@@ -17,54 +17,54 @@
 }
 
 // wireEnd is what a machine's links suffer.
-type wireEnd struct {
-	off, storeOff, storeRefuses bool
-	loss, doubled               float64
-	late                        clock.Milliseconds
-	sent                        uint64
+type link struct {
+	down, storeUnreachable, storeRefuses bool
+	loss, doubled                        float64
+	maxDelay                             clock.Milliseconds
+	sent                                 uint64
 }
 
 // Harm that links suffer.
 const (
-	lossyPart   = 0.3
-	doubledPart = 0.5
-	lateMost    = 300 * clock.Millisecond
+	lossRate      = 0.3
+	duplicateRate = 0.5
+	lateMaxDelay  = 300 * clock.Millisecond
 	// usualLoss is lost between any two machines at any time, usualDelay what datagrams take at most.
-	usualLoss  = 0.0
-	usualDelay = 9 * clock.Millisecond
+	baseLoss     = 0.0
+	baseMaxDelay = 9 * clock.Millisecond
 )
 
 func newWire(fleet *virtualFleet) wire {
-	return wire{fleet: fleet, ends: make([]wireEnd, len(fleet.machines)), oneWay: map[[2]int]bool{}}
+	return wire{fleet: fleet, links: make([]link, len(fleet.machines)), oneWay: map[[2]int]bool{}}
 }
 
 // refresh works out anew what links suffer by the changes that last.
 func (wire *wire) refresh(active []change) {
 	clear(wire.oneWay)
 	wire.parts = 0
-	for number := range wire.ends {
-		wire.ends[number] = wireEnd{sent: wire.ends[number].sent}
+	for number := range wire.links {
+		wire.links[number] = link{sent: wire.links[number].sent}
 	}
 	for _, change := range active {
-		end := &wire.ends[change.One]
+		end := &wire.links[change.One]
 		switch change.Kind {
 		case cutOneWay:
 			wire.oneWay[[2]int{change.One, change.Other}] = true
 		case cutOff:
-			end.off, end.storeOff = true, true
+			end.down, end.storeUnreachable = true, true
 		case partition:
 			wire.parts = 2 + change.Other%3
 		case lossy:
-			end.loss = lossyPart
+			end.loss = lossRate
 		case doubled:
-			end.doubled = doubledPart
+			end.doubled = duplicateRate
 		case late:
-			end.late = lateMost
+			end.maxDelay = lateMaxDelay
 		case storeCut:
-			end.storeOff = true
+			end.storeUnreachable = true
 		case storeRefuses:
-			for number := range wire.ends {
-				wire.ends[number].storeRefuses = wire.ends[number].storeRefuses || refused(change, number)
+			for number := range wire.links {
+				wire.links[number].storeRefuses = wire.links[number].storeRefuses || storeRefusesMachine(change, number)
 			}
 		default:
 		}
@@ -72,13 +72,13 @@
 }
 
 // refused tells which machines a store turns away that refuses some.
-func refused(change change, number int) bool {
+func storeRefusesMachine(change change, number int) bool {
 	return (number+change.One)%3 != change.Other%3
 }
 
 // cut reports whether nothing passes from one machine to another.
 func (wire *wire) cut(from, to *machine) bool {
-	return wire.ends[from.number].off || wire.ends[to.number].off || wire.oneWay[[2]int{from.number, to.number}] ||
+	return wire.links[from.number].down || wire.links[to.number].down || wire.oneWay[[2]int{from.number, to.number}] ||
 		wire.parts > 0 && wire.part(from) != wire.part(to)
 }
 
@@ -92,27 +92,27 @@
 
 // passes decides the fate of the next datagram.
 func (wire *wire) passes(from, to *machine) bool {
-	wire.ends[from.number].sent++
-	loss := max(usualLoss, wire.ends[from.number].loss, wire.ends[to.number].loss)
-	return !wire.cut(from, to) && wire.draw(from, to, 1) >= loss
+	wire.links[from.number].sent++
+	loss := max(baseLoss, wire.links[from.number].loss, wire.links[to.number].loss)
+	return !wire.cut(from, to) && wire.random(from, to, 1) >= loss
 }
 
 func (wire *wire) copies(from, to *machine) int {
-	if wire.draw(from, to, 2) < max(wire.ends[from.number].doubled, wire.ends[to.number].doubled) {
+	if wire.random(from, to, 2) < max(wire.links[from.number].doubled, wire.links[to.number].doubled) {
 		return 2
 	}
 	return 1
 }
 
 func (wire *wire) delay(from, to *machine) clock.Milliseconds {
-	late := max(usualDelay, wire.ends[from.number].late, wire.ends[to.number].late)
-	return late * clock.Milliseconds(wire.draw(from, to, 3))
+	late := max(baseMaxDelay, wire.links[from.number].maxDelay, wire.links[to.number].maxDelay)
+	return late * clock.Milliseconds(wire.random(from, to, 3))
 }
 
 // draw is a number from 0 to 1 that depends on the datagram alone, so that a schedule with a change less differs no more than it must.
-func (wire *wire) draw(from, to *machine, salt uint64) float64 {
+func (wire *wire) random(from, to *machine, salt uint64) float64 {
 	mixed := wire.fleet.options.seed
-	for _, part := range []uint64{uint64(from.number), uint64(to.number), wire.ends[from.number].sent, salt} {
+	for _, part := range []uint64{uint64(from.number), uint64(to.number), wire.links[from.number].sent, salt} {
 		mixed = (mixed ^ part) + 0x9e3779b97f4a7c15
 		mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 		mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
@@ -122,7 +122,7 @@
 }
 
 // disturb notes which machines, and whether the store, suffer by the changes that last.
-func (fleet *virtualFleet) disturb(now clock.Moment) {
+func (fleet *virtualFleet) markDisturbed(now clock.Moment) {
 	for _, change := range fleet.active {
 		switch change.Kind {
 		case partition:
@@ -130,9 +130,9 @@
 				machine.disturbed = now
 			}
 		case storeRefuses:
-			fleet.store.refusing = now
+			fleet.store.refusingAt = now
 		case storeDown, storeSlow, storeLags:
-			fleet.store.harmed = now
+			fleet.store.degradedAt = now
 		case cutOneWay:
 			fleet.machines[change.One].disturbed = now
 			fleet.machines[change.Other].disturbed = now
@@ -143,6 +143,6 @@
 }
 
 // lasting returns the first change of a kind that lasts.
-func (fleet *virtualFleet) lasting(kind changeKind) bool {
+func (fleet *virtualFleet) isActive(kind changeKind) bool {
 	return slices.ContainsFunc(fleet.active, func(change change) bool { return change.Kind == kind })
 }
