--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -10,9 +10,9 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Servers fail most requests for a while, instances that serve are restarted and others take over, and callers repeat on their
-// own. Instances count retries by themselves; over any ten seconds the fleet must still not send more of them than was agreed,
-// or the retries keep the servers down.
+// Guards against a fleet that sends more retries in ten seconds than was agreed, which would keep failing servers down.
+// Servers fail most requests for a while, serving instances are restarted and others take over, callers retry on their own,
+// and each instance counts only its own retries.
 func TestFleetKeepsTheRetryBudget(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -48,7 +48,7 @@
 				budget := budgets[random.IntN(serving)]
 				budget.Earn()
 				asked = append(asked, now)
-				// For ten seconds in twenty all requests are sent as often as may be, after savings have filled up.
+				// In ten of every twenty seconds all requests are retried as often as the budget allows, after saved retries have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
 				for failing && budget.Spend() {
 					repeated = append(repeated, now)
--- a/internal/fleet/controller_bench_test.go
+++ b/internal/fleet/controller_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// One that stands by should cost next to nothing, however many there are.
+// BenchmarkStandbySecond measures one second of a standby instance, which should cost next to nothing in a fleet of any size.
 func BenchmarkStandbySecond(b *testing.B) {
 	for _, instances := range []int{30, 100, 300} {
 		b.Run(fmt.Sprintf("%d instances", instances), func(b *testing.B) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// Whenever an instance comes or goes, and whenever a server changes, the routes and owners are worked out anew.
+// BenchmarkPublish measures the computation of routes and owners, which is repeated whenever an instance or a server changes.
 func BenchmarkPublish(b *testing.B) {
 	fixture := newStandbyFixture(b, 100, 318)
 	b.ReportAllocs()
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -15,16 +15,16 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// A hundred instances start within a moment. If each read the store, whose calls are limited and charged, it would turn some
-// away just when all need it. The seeds read; the others learn from them, and read for themselves only when nobody tells. After
-// a restart callers are waiting, and each reads at once.
+// Guards against a hundred instances that start within a moment and all read the store: its calls are limited and charged, and
+// it would refuse some just when all instances need it. The seeds read it; the others receive the view from them, and read the
+// store only when no view arrives. After a restart callers are waiting, and each instance reads a stale view at once.
 func TestOnlySeedsReadAtOnce(t *testing.T) {
 	cases := []struct {
 		name string
 		self int
-		// told is whether a seed that has read the store is heard, after the time before it passed.
+		// informed is whether the heartbeat of a seed that has read the store arrives, after the elapsed time.
 		informed bool
-		// state is that of the seed.
+		// state is the state of the seed.
 		state      membership.State
 		elapsed    clock.Milliseconds
 		restarted  bool
@@ -33,11 +33,11 @@
 	}{
 		{"a seed", 1, false, 0, 0, false, true, 0},
 		{"another", 9, false, 0, firstStartReadDelay / 20, false, false, 0},
-		{"another, told", 9, true, membership.Joining, firstStartReadDelay / 20, false, false, 7},
-		{"another, alone", 9, false, 0, firstStartReadDelay, false, true, 0},
+		{"another, informed", 9, true, membership.Joining, firstStartReadDelay / 20, false, false, 7},
+		{"another, not informed in time", 9, false, 0, firstStartReadDelay, false, true, 0},
 		{"after a restart", 9, false, 0, 0, true, false, 0},
-		{"after a restart, told", 9, true, membership.Serving, 0, true, false, 7},
-		{"after a restart, alone", 9, false, 0, restartReadDelayNext, true, true, 0},
+		{"after a restart, informed", 9, true, membership.Serving, 0, true, false, 7},
+		{"after a restart, not informed in time", 9, false, 0, restartReadDelayNext, true, true, 0},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -50,19 +50,19 @@
 			fixture.controller.tick()
 			require.Equal(t, testCase.readsStore, fixture.readsStore)
 			require.Equal(t, testCase.followed, fixture.followed)
-			require.Zero(t, fixture.staleReads, "nobody asked")
+			require.Zero(t, fixture.staleReads, "no request has arrived")
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			for range 2 {
 				require.Nil(t, fixture.controller.AwaitTable(ctx))
 			}
-			require.Equal(t, testCase.restarted, fixture.staleReads == 1, "an old view is read once for callers that come after a restart")
+			require.Equal(t, testCase.restarted, fixture.staleReads == 1, "a stale view is read once for callers that arrive after a restart")
 		})
 	}
 }
 
-// Instances that stand by come and go all the time in a large fleet. Who serves and who owns what does not change by that, and
-// is not worked out anew; when a serving one comes, it is.
+// Guards against recomputing routes and owners whenever a standby instance comes or goes, which happens all the time in a
+// large fleet. They are recomputed when a serving instance changes.
 func TestOnlyServingInstancesChangeOwners(t *testing.T) {
 	fixture := newStandbyFixture(t, 20, 30)
 	before := fixture.controller.Table()
@@ -75,8 +75,8 @@
 	require.NotContains(t, fixture.controller.owners, identity(2).Name)
 }
 
-// Bytes between data centres are charged. An instance that follows asks one of its own data centre while that has anything new,
-// unless another one has a newer configuration, which must be in force in time.
+// Guards against needless traffic between data centres, which is charged. An instance that follows asks a peer of its own data
+// centre while that has a newer view, unless another peer has a newer configuration, which must be in force in time.
 func TestFreshestPeerIsInOwnDataCentre(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -101,15 +101,16 @@
 	}
 }
 
-// A machine is suspended for some seconds and goes on as if nothing had happened: its timers did not count that time. Servers have
-// left meanwhile, and requests sent by the old view would be lost there. Until everything was read anew it must serve by nothing.
+// Guards against a machine that is suspended for some seconds and then serves with its old view: its timers did not count that
+// time, servers have left meanwhile, and requests to them would be lost. It must not serve until it has read the whole catalog
+// again.
 func TestSuspendedMachineDropsOldView(t *testing.T) {
 	cases := []struct {
 		name       string
 		suspended  clock.Milliseconds
 		dropsTable bool
 	}{
-		{"a hiccup", suspendThreshold / 2, false},
+		{"short pause", suspendThreshold / 2, false},
 		{"suspended", 4 * clock.Second, true},
 	}
 	for _, testCase := range cases {
@@ -126,8 +127,8 @@
 	}
 }
 
-// A server ends and starts again under its name and address while a request is in flight there. It is cold and knows nothing of
-// that request; taken for the warm one that it was, it would be given its full load and crash.
+// Guards against a server that restarts under its name and address while a request is in flight there, and is still taken for
+// warm: it is cold and does not know that request, and its full load would crash it.
 func TestRestartedServerIsCold(t *testing.T) {
 	fixture := newFixture(1, 1)
 	before := newView(3, 1)
@@ -137,7 +138,7 @@
 	warm := service.Reading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
 	scheduler.Observe("target-0", warm)
 	permit, found := scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
-	require.True(t, found, "a warm server takes requests whoever owns it")
+	require.True(t, found, "a warm server accepts requests from any instance")
 
 	restarted := newView(3, 1)
 	restarted.Revision = 2
@@ -146,12 +147,13 @@
 	restarted.Servers[0].ColdFor = 3 * clock.Second
 	fixture.controller.applyView(restarted)
 	_, found = scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
-	require.False(t, found, "this instance does not own it, so it may not start it")
+	require.False(t, found, "this instance does not own the cold server, so it may not send requests to it")
 	permit.Release(service.Failed)
 }
 
-// Operators take a data centre out. Its instance still serves, but all servers are others' now; callers who are sent to it are refused
-// while there is room. Answers must leave it out, name it when nothing else is there, and name it again when the data centre is back.
+// Guards against callers that are sent to an instance whose data centre operators have taken out: it still serves, but other
+// instances own all servers, so it refuses callers while there are free permits. Answers must omit it, contain it when there
+// is no other instance, and contain it again when the data centre is back.
 func TestAddressesOmitDataCentresThatAreOut(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -178,16 +180,16 @@
 	}
 }
 
-// All instances that serve die at once, or are cut off. One that stands by follows them, and what they would have told it binds it as well: it must read
-// for itself long before it takes them for lost.
+// Guards against a standby instance that waits for serving instances which all died at once or are cut off. It has to comply
+// with the updates that it would have received from them, so it must read the store itself long before they count as lost.
 func TestSilentLeadersAreNotWaitedFor(t *testing.T) {
 	cases := []struct {
 		name       string
 		silent     clock.Milliseconds
 		readsStore bool
 	}{
-		{"they speak", 0, false},
-		{"a beat is late", clock.Second + 300, false},
+		{"heartbeats arrive", 0, false},
+		{"a heartbeat is late", clock.Second + 300, false},
 		{"silent", silentLeadersTimeout + standbyTickInterval, true},
 	}
 	for _, testCase := range cases {
@@ -206,7 +208,8 @@
 	}
 }
 
-// Guards against an instance that knows of a newer view, is told it by nobody, and waits until those that serve count as silent.
+// Guards against an instance that knows of a newer view, receives it from no peer, and waits until the serving instances count
+// as silent.
 func TestUndeliveredViewIsReadFromStore(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -215,8 +218,8 @@
 		readsStore  bool
 	}{
 		{"nothing newer is known", 1, true, false},
-		{"peers tell", 2, false, false},
-		{"peers don't tell", 2, true, true},
+		{"peers deliver", 2, false, false},
+		{"peers do not deliver", 2, true, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -230,7 +233,7 @@
 	}
 }
 
-// Guards against a peer that was lost and is asked again and again while another one would answer.
+// Guards against an instance that asks a lost peer again and again while another peer would answer.
 func TestPeerThatDoesNotAnswerIsAvoided(t *testing.T) {
 	fixture := newStandbyFixture(t, 12, 30)
 	fixture.receiveHeartbeat(3, membership.Serving, 2)
@@ -242,7 +245,7 @@
 	require.Equal(t, identity(3).Name, fixture.controller.freshestPeer().Identity.Name)
 }
 
-// Guards against instances that leave and read the store for themselves, each as often as one that serves.
+// Guards against leaving instances that read the store themselves, each as often as a serving instance.
 func TestLeavingInstanceFollows(t *testing.T) {
 	fixture := newStandbyFixture(t, 12, 30)
 	require.NoError(t, fixture.controller.Leave(t.Context()))
@@ -252,7 +255,8 @@
 	require.False(t, fixture.readsStore)
 }
 
-// Guards against hundreds that all read the store after a restart, or while it is away, and use up its link or its calls.
+// Guards against hundreds of instances that all read the store after a restart, or while it is down, and use up its bandwidth
+// or its call limit.
 func TestNextToServeReadsStoreFirst(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -279,10 +283,10 @@
 		})
 	}
 	for _, self := range []int{0, 11} {
-		t.Run(fmt.Sprintf("the store is away, instance %d", self), func(t *testing.T) {
+		t.Run(fmt.Sprintf("the store is down, instance %d", self), func(t *testing.T) {
 			fixture := newStandbyFixture(t, 12, 30)
 			if self == 0 {
-				// Its data centre loses all that come before it.
+				// All instances of its data centre that come before it leave.
 				fixture.receiveHeartbeat(3, membership.Leaving, 1)
 				fixture.receiveHeartbeat(7, membership.Leaving, 1)
 			}
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -18,7 +18,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// fixture is one instance that stands by, with what it hears of the others, and what it has its reader do.
+// fixture is one standby instance, with the heartbeats that it receives of the others and the calls that it makes to its
+// catalog reader.
 type fixture struct {
 	controller *Controller
 	clock      *clock.Manual
@@ -29,7 +30,7 @@
 	readsStore bool
 	refreshed  bool
 	staleReads int
-	// peerFailing is what its reader says of its peers.
+	// peerFailing is what its catalog reader reports of its peers.
 	peerFailing bool
 	followed    catalog.Revision
 }
@@ -45,7 +46,7 @@
 	}
 }
 
-// newFixture makes an instance that has just started and has heard nobody.
+// newFixture returns an instance that has just started and has received no heartbeat.
 func newFixture(self int, seeds ...int) *fixture {
 	fixture := &fixture{clock: clock.NewManual(), awake: clock.NewManual()}
 	fixture.advance(clock.Second)
@@ -68,13 +69,13 @@
 	return fixture
 }
 
-// pass lets time pass on both clocks.
+// advance advances both clocks.
 func (fixture *fixture) advance(length clock.Milliseconds) {
 	fixture.clock.Advance(length)
 	fixture.awake.Advance(length)
 }
 
-// hear lets the instance hear another one.
+// receiveHeartbeat passes a heartbeat of another instance to the controller.
 func (fixture *fixture) receiveHeartbeat(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
 	fixture.controller.receiveMessage(&Message{Heartbeat: &membership.Beat{
@@ -82,7 +83,7 @@
 	}})
 }
 
-// newStandby makes an instance that stands by in a fleet of which one instance in each data centre serves.
+// newStandbyFixture returns a standby instance in a fleet of which one instance in each data centre serves.
 func newStandbyFixture(tb testing.TB, instances, targets int) *fixture {
 	fixture := newFixture(instances - 1)
 	for number := range instances - 1 {
@@ -100,7 +101,7 @@
 	return fixture
 }
 
-// view has the given number of backend servers in three services.
+// newView returns a view with the given number of backend servers in three services.
 func newView(targets, dataCentres int) *catalog.View {
 	view := &catalog.View{Revision: 1, Configuration: &catalog.Configuration{
 		Version: 1, Services: map[settings.ServiceName]catalog.ServiceLimits{"lookups": {}, "payments": {}, "exports": {}},
@@ -121,7 +122,7 @@
 	return view
 }
 
-// second lets a second pass: ticks, and a beat from each serving instance.
+// advanceSecond advances the clocks by a second, with ticks and a heartbeat of each serving instance.
 func (fixture *fixture) advanceSecond() {
 	for number := range fixture.serving {
 		fixture.receiveHeartbeat(number, membership.Serving, 1)
--- a/internal/fleet/load_generator_test.go
+++ b/internal/fleet/load_generator_test.go
@@ -11,7 +11,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// consumer is an instance that probes the backend servers it owns and sends to all of them whatever its schedulers let through.
+// loadGenerator is an instance that probes the backend servers it owns and sends as many requests to all servers as its
+// schedulers admit.
 type loadGenerator struct {
 	controller *Controller
 	jobs       []sensing.Job
@@ -23,7 +24,7 @@
 	until  clock.Moment
 }
 
-// coldView is a view of which every server is cold.
+// newColdView returns a view in which every server is cold.
 func newColdView(targets, dataCentres int) *catalog.View {
 	cold := newView(targets, dataCentres)
 	for name := range cold.Configuration.Services {
@@ -42,7 +43,7 @@
 	}
 }
 
-// use sends as many requests as the schedulers let through, and returns where they went.
+// sendRequests sends as many requests as the schedulers admit, and returns the servers they were sent to.
 func (loadGenerator *loadGenerator) sendRequests(now clock.Moment) []settings.TargetName {
 	kept := loadGenerator.permits[:0]
 	for _, held := range loadGenerator.permits {
@@ -55,7 +56,7 @@
 	loadGenerator.permits = kept
 	var sent []settings.TargetName
 	if loadGenerator.controller.Table() == nil {
-		// A caller comes, and waits for a table.
+		// The request of a caller arrives and waits for a table.
 		loadGenerator.controller.readStale()
 	}
 	for _, name := range slices.Sorted(maps.Keys(loadGenerator.controller.services)) {
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -10,7 +10,7 @@
 	"github.com/jaywheel/jaywheel/internal/service"
 )
 
-// Readings arrive as they were taken, but for the time on the way.
+// Guards against readings that are changed by the transmission, except for the transmission time.
 func TestReadingsRoundTrip(t *testing.T) {
 	own := ownReading{reading: service.Reading{At: 990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700}}
 	sharedReading := newSharedReading(keyOf("one"), own, 40, 150, 1000)
@@ -24,7 +24,8 @@
 	}, reading)
 }
 
-// Anyone who reaches the port can send anything. What makes no sense must neither be believed nor end the process.
+// Guards against datagrams of any sender that reaches the port. An invalid datagram must neither be accepted nor end the
+// process.
 func FuzzDecode(f *testing.F) {
 	text, err := Encode(&Message{Heartbeat: &membership.Beat{Identity: membership.Identity{Name: "entry-1", Peer: "10.0.0.1:7000"}}})
 	require.NoError(f, err)
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -18,7 +18,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// What the targets of this test bear, and what the users allow on top over all instances in any second.
+// Limit of the cold targets in this test, and the excess that is allowed over all instances in any second.
 const (
 	ownedColdRate   = 4.0
 	ownedColdFactor = 1.5
@@ -28,8 +28,8 @@
 	ownedInterval   = 50 * clock.Millisecond
 )
 
-// ownedFleet is a few instances in virtual time, whose datagrams may be lost, delayed or cut off and which are paused and
-// restarted, on cold targets that all of them want to use as much as they may.
+// ownedFleet is a few instances in virtual time that all send as many requests as they may to cold targets. Their datagrams
+// may be lost, delayed or cut off, and the instances are paused and restarted.
 type ownedFleet struct {
 	clock     *clock.Manual
 	random    *rand.Rand
@@ -66,7 +66,7 @@
 	return fleet
 }
 
-// restart starts an instance anew; it knows nothing of before. What it sent before is still at the targets.
+// restart starts an instance without any earlier state. The requests that it sent before are still at the targets.
 func (fleet *ownedFleet) restart(node *ownedNode) {
 	seeds := make([]netip.AddrPort, 0, len(fleet.nodes))
 	for number := range 3 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// step lets a moment pass: datagrams arrive, instances tick, probe and send whatever they may.
+// step advances time by one step: datagrams arrive, and instances tick, probe and send as many requests as they may.
 func (fleet *ownedFleet) step() {
 	fleet.clock.Advance(ownedStep)
 	now := fleet.clock.Now()
@@ -120,7 +120,7 @@
 		if now < node.pausedUntil {
 			continue
 		}
-		// A request that waited out a pause is placed before anything else happens: the worst order.
+		// A request that waited during a pause is sent before anything else happens, which is the worst order.
 		for _, name := range node.sendRequests(now) {
 			fleet.sent[name] = append(fleet.sent[name], now)
 		}
@@ -136,7 +136,7 @@
 	}
 }
 
-// trouble changes something at random.
+// injectFault injects a random fault and returns its description.
 func (fleet *ownedFleet) injectFault() string {
 	one, other := fleet.random.IntN(len(fleet.nodes)), fleet.random.IntN(len(fleet.nodes))
 	switch fleet.random.IntN(6) {
@@ -159,12 +159,13 @@
 		return fmt.Sprintf("pause %d", one)
 	default:
 		fleet.maxDelay = clock.Milliseconds(fleet.random.IntN(300))
-		return fmt.Sprintf("datagrams late by up to %s", fleet.maxDelay)
+		return fmt.Sprintf("datagrams delayed by up to %s", fleet.maxDelay)
 	}
 }
 
-// Servers are cold, and instances that can't hear each other, were paused or have just started disagree who may start them. Each that
-// takes itself for the owner sends to them; the sum over all must stay within what the users allow, or the servers crash again.
+// Guards against cold servers that crash under the load of several owners. Instances that cannot reach each other, were paused
+// or have just started disagree on which of them owns a server, and each that takes itself for the owner sends requests to it.
+// The sum over all instances must stay within what is allowed.
 func TestColdServerLoadIsBoundedOverAllOwners(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -190,5 +191,5 @@
 			require.LessOrEqual(t, float64(within(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
 		}
 	}
-	require.Greater(t, total, ownedTargets*30, "cold servers get next to nothing")
+	require.Greater(t, total, ownedTargets*30, "cold servers receive next to no requests")
 }
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -13,10 +13,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// datagramMost is what fits one packet beside the headers, in bytes.
+// maxDatagramSize is the size of a datagram that fits into one packet with the headers, in bytes.
 const maxDatagramSize = 1400
 
-// manyTeams returns teams with a limit that one request does not reach.
+// manyTeams returns teams with a rate limit that one request does not reach.
 func manyTeams(count int) []team.Team {
 	teams := make([]team.Team, count)
 	for index := range teams {
@@ -26,7 +26,7 @@
 	return teams
 }
 
-// Guards against reports that are cut or lost on the way for their length, however many teams ask.
+// Guards against reports that are truncated or lost in transit because of their length, however many teams send requests.
 func TestReportsFitADatagram(t *testing.T) {
 	for _, count := range []int{1, 79, 100, 10_000} {
 		manual := clock.NewManual()
@@ -54,7 +54,8 @@
 	}
 }
 
-// Guards against a datagram of anybody's that empties a team's bucket for much longer than a second, or fills it beyond its burst.
+// Guards against a datagram of any sender that empties a team's bucket for much longer than a second, or fills it beyond its
+// burst.
 func FuzzReport(f *testing.F) {
 	manual := clock.NewManual()
 	known := quota.NewLedger(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
@@ -92,7 +93,7 @@
 	})
 }
 
-// Guards against an unknown key that is refused for good by an instance that has not heard of the newest configuration.
+// Guards against an instance that does not have the newest configuration and refuses an unknown key for good.
 func TestKeysAreUnsureUntilTheViewIsFresh(t *testing.T) {
 	fixture := newStandbyFixture(t, 20, 12)
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
@@ -103,7 +104,8 @@
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 }
 
-// Guards against revoked keys that work for ever at an instance which hears nobody, where operators don't want that.
+// Guards against revoked keys that work forever at an instance which receives no messages, if operators have configured it to
+// fail closed.
 func TestFailClosed(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/fleet/virtual_change_test.go
+++ b/internal/fleet/virtual_change_test.go
@@ -12,7 +12,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// changeKind is what happens to a fleet, its links, its store or its servers.
+// changeKind is the kind of a change to a fleet, its links, its store or its servers.
 type changeKind string
 
 // Changes to instances.
@@ -26,7 +26,7 @@
 	replace     changeKind = "replace"
 )
 
-// Changes to links, which last.
+// Changes to links, all of which have a duration.
 const (
 	cutOneWay changeKind = "cutOneWay"
 	cutOff    changeKind = "cutOff"
@@ -36,7 +36,7 @@
 	doubled   changeKind = "doubled"
 )
 
-// Changes to the store, all but the last of which last.
+// Changes to the store, all but the last of which have a duration.
 const (
 	storeCut     changeKind = "storeCut"
 	storeRefuses changeKind = "storeRefuses"
@@ -46,7 +46,7 @@
 	storeForgets changeKind = "storeForgets"
 )
 
-// Changes to what the store holds.
+// Changes to the content of the store.
 const (
 	nothing       changeKind = "nothing"
 	configure     changeKind = "configure"
@@ -73,22 +73,22 @@
 	Other int
 }
 
-// String writes the change as the literal that a case takes.
+// String returns the change as the literal that a test case contains.
 func (change change) String() string {
 	return fmt.Sprintf("{At: %.0f, For: %.0f, Kind: %s, One: %d, Other: %d},", float64(change.At), float64(change.For), change.Kind, change.One, change.Other)
 }
 
-// Times of a schedule: the fleet settles at first, and again at the end.
+// Times of a schedule: the fleet settles at the start, and again at the end.
 const (
 	initialSettleTime = 7 * clock.Second
 	finalSettleTime   = 9 * clock.Second
 	maxChangeLength   = 5 * clock.Second
 )
 
-// denseEvery is how many seeds there are for one in which so much happens that the fleet never comes to rest.
+// denseEvery is the number of seeds of which one has so many changes that the fleet never settles.
 const denseEvery = 4
 
-// newSchedule draws changes for a run. Some come in a row, as when instances are restarted one after the other.
+// newSchedule draws the changes of a run. Some of them are repeated, as when instances are restarted one after another.
 func newSchedule(options virtualOptions) []change {
 	random := rand.New(rand.NewPCG(options.seed, 11))
 	span := options.length - initialSettleTime - finalSettleTime
@@ -120,7 +120,7 @@
 	return schedule
 }
 
-// follow begins and ends changes that are due.
+// applySchedule begins and ends the changes that are due.
 func (fleet *virtualFleet) applySchedule(now clock.Moment) {
 	before := len(fleet.active)
 	fleet.active = slices.DeleteFunc(fleet.active, func(change change) bool {
@@ -143,13 +143,13 @@
 		fleet.changeStore(next, now)
 	}
 	if refresh {
-		fleet.wire.refresh(fleet.active)
+		fleet.network.refresh(fleet.active)
 	}
 	fleet.markDisturbed(now)
 	fleet.store.renewServers(now)
 }
 
-// from is when a change begins, by the fleet's clock.
+// startOf returns when a change begins by the clock of the fleet.
 func (fleet *virtualFleet) startOf(change change) clock.Moment {
 	return change.At.Add(clock.Second)
 }
@@ -190,7 +190,7 @@
 	machine.startAt = now.Add(after)
 }
 
-// Times of leaving: callers are still let in until listenUntil, and requests end until leaveMost.
+// Times of leaving: requests of callers are accepted until listenUntil, and end by maxLeaveTime.
 const (
 	listenUntil  = 2700 * clock.Millisecond
 	maxLeaveTime = 6 * clock.Second
@@ -201,7 +201,7 @@
 	if process == nil || process.leftAt > 0 {
 		return
 	}
-	// The inbox has room: it is emptied with each step.
+	// The inbox is not full: it is emptied in each step.
 	_ = process.controller.Leave(context.Background())
 	process.leftAt = now
 	process.leavesAt = now.Add(listenUntil + clock.Milliseconds(fleet.random.Float64())*(maxLeaveTime-listenUntil))
--- a/internal/fleet/virtual_checks_test.go
+++ b/internal/fleet/virtual_checks_test.go
@@ -10,7 +10,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// What the users hold a fleet to. An instance is in touch when it and the store were undisturbed for contactTime.
+// Requirements of a fleet. An instance is in contact when it and the store were undisturbed for contactTime.
 const (
 	contactTime          = 3 * clock.Second
 	configureIn          = 2 * clock.Second
@@ -20,8 +20,8 @@
 	maxStoppedAdvertised = contactTime + 3*clock.Second
 	callerTTL            = addressTTL
 	maxLeavingAdvertised = listenUntil - callerTTL
-	// settledIn is when a fleet that is left alone is as it should be, and when instances that are left alone serve whatever the
-	// others do: as long as the users allow an instance that is gone to be named.
+	// settleTime is the time after which an undisturbed fleet is in its intended state, and after which undisturbed instances
+	// serve whatever the others do. It is as long as an instance that is gone may be advertised.
 	settleTime = maxStoppedAdvertised
 )
 
@@ -31,17 +31,19 @@
 	at            clock.Moment
 }
 
-// checks look at a fleet after each step.
+// checks are evaluated on a fleet after each step.
 type checks struct {
 	fleet *virtualFleet
 	list  []namedCheck
-	// sent are the moments of the last second at which a server was sent something.
-	sent map[settings.TargetName][]clock.Moment
-	over string
-	// unserved is since when nobody serves in a data centre, misled since when a machine's answers name nobody who runs.
+	// sent are the times within the last second at which a server was sent requests.
+	sent     map[settings.TargetName][]clock.Moment
+	overload string
+	// unservedSince is since when no instance serves in a data centre, misdirectedSince since when the answers of a machine
+	// contain no running instance.
 	unservedSince    map[settings.DataCentreName]clock.Moment
 	misdirectedSince map[*machine]clock.Moment
-	// disturbed is when anything was last disturbed, moved when links or processes were other than by being started or ended.
+	// disturbed is when anything was last disturbed, faultedAt when links or processes were last disturbed other than by a
+	// start or an end.
 	disturbed clock.Moment
 	faultedAt clock.Moment
 	versions  []acknowledged
@@ -53,8 +55,8 @@
 	at      clock.Moment
 }
 
-// figures are the worst that was seen: how long nobody served in a data centre, how late a configuration was where an instance was left alone, how many
-// served, and what a server was sent in a second.
+// worstCase is the worst of what was seen: how long no instance served in a data centre, how late a configuration was at an
+// undisturbed instance, how many instances served, and how many requests a server was sent in a second.
 type worstCase struct {
 	unserved, configured clock.Milliseconds
 	serving, sent        int
@@ -69,8 +71,8 @@
 
 type namedCheck struct {
 	name string
-	// look returns what is wrong, or nothing.
-	look func(now clock.Moment) string
+	// evaluate returns a description of the violation, or an empty string.
+	evaluate func(now clock.Moment) string
 }
 
 func newChecks(fleet *virtualFleet) *checks {
@@ -83,12 +85,12 @@
 		{"configuration in time", checks.configuredInTime},
 		{"drained in time", checks.drainedInTime},
 		{"evacuated in time", checks.evacuatedInTime},
-		{"gone ones are not named", checks.stoppedNotAdvertised},
-		{"leaving ones are not named", checks.leavingNotAdvertised},
-		{"cold servers", func(clock.Moment) string { return checks.over }},
-		{"someone serves", checks.someoneServes},
-		{"answers name someone", checks.answersNameRunningInstance},
-		{"few serve", checks.fewServe},
+		{"stopped instances are not advertised", checks.stoppedNotAdvertised},
+		{"leaving instances are not advertised", checks.leavingNotAdvertised},
+		{"cold servers", func(clock.Moment) string { return checks.overload }},
+		{"an instance serves in each data centre", checks.eachDataCentreServes},
+		{"answers contain a running instance", checks.answersNameRunningInstance},
+		{"few instances serve", checks.fewServe},
 		{"settled", checks.settled},
 	}
 	return checks
@@ -97,7 +99,7 @@
 func (checks *checks) check(now clock.Moment) *violation {
 	checks.note(now)
 	for _, check := range checks.list {
-		if detail := check.look(now); detail != "" {
+		if detail := check.evaluate(now); detail != "" {
 			return &violation{check: check.name, detail: detail, at: now.Add(-clock.Second)}
 		}
 	}
@@ -121,7 +123,7 @@
 	}
 }
 
-// running calls a function for each process that runs.
+// running calls a function for each process that runs, until one returns a violation.
 func (checks *checks) running(now clock.Moment, visit func(*machine, *process) string) string {
 	for _, machine := range checks.fleet.machines {
 		if process := machine.process; process != nil && !process.frozen(now) {
@@ -133,12 +135,12 @@
 	return ""
 }
 
-// undisturbed reports whether the machine was left alone for a while.
+// undisturbed reports whether the machine was not disturbed for the given time.
 func (machine *machine) undisturbed(now clock.Moment, length clock.Milliseconds) bool {
 	return now.Since(machine.disturbed) >= length
 }
 
-// inTouch calls a function for each process that is in touch and has routes in force.
+// inContact calls a function for each process that is in contact and has routes in force.
 func (checks *checks) inContact(now clock.Moment, visit func(*machine, *process) string) string {
 	if !checks.fleet.store.stable(now) {
 		return ""
@@ -169,7 +171,7 @@
 	})
 }
 
-// lateness is for how long there has been a newer version than the given one.
+// lateness returns for how long a version newer than the given one has existed.
 func (checks *checks) lateness(version catalog.Version, now clock.Moment) clock.Milliseconds {
 	for _, known := range checks.versions {
 		if known.version > version {
@@ -179,7 +181,7 @@
 	return 0
 }
 
-// configuredInTime also holds, with a later bound, while the store only turns some machines away.
+// configuredInTime also holds, with a later bound, while the store only refuses some machines.
 func (checks *checks) configuredInTime(now clock.Moment) string {
 	store := checks.fleet.store
 	if now.Since(store.degradedAt) < contactTime {
@@ -197,7 +199,7 @@
 		late := checks.lateness(version, now)
 		checks.worstCase.configured = max(checks.worstCase.configured, late)
 		if late > bound {
-			return fmt.Sprintf("follows version %d; a newer one was acknowledged %s ago", version, late)
+			return fmt.Sprintf("has version %d in force; a newer one was acknowledged %s ago", version, late)
 		}
 		return ""
 	})
@@ -243,19 +245,19 @@
 	return ""
 }
 
-// noteSent counts what servers are sent by all.
+// noteSent counts the requests that all instances send to servers.
 func (checks *checks) noteSent(process *process, names []settings.TargetName, now clock.Moment) {
 	for _, name := range names {
 		recent := slices.DeleteFunc(checks.sent[name], func(at clock.Moment) bool { return now.Since(at) >= clock.Second })
 		checks.sent[name] = append(recent, now)
 		checks.worstCase.sent = max(checks.worstCase.sent, len(checks.sent[name]))
 		if limit := ownedColdRate*ownedColdFactor + ownedColdSlack; float64(len(checks.sent[name])) > limit {
-			checks.over = fmt.Sprintf("%s was sent %d requests in a second, the last by %s", name, len(checks.sent[name]), process.machine.identity.Name)
+			checks.overload = fmt.Sprintf("%s was sent %d requests in a second, the last by %s", name, len(checks.sent[name]), process.machine.identity.Name)
 		}
 	}
 }
 
-// places is how many should serve in each data centre.
+// wantedServing returns the number of running instances in each data centre, and how many of them should serve.
 func (checks *checks) wantedServing(now clock.Moment) (map[settings.DataCentreName]int, int) {
 	living := map[settings.DataCentreName]int{}
 	_ = checks.running(now, func(machine *machine, _ *process) string {
--- a/internal/fleet/virtual_drain_test.go
+++ b/internal/fleet/virtual_drain_test.go
@@ -6,14 +6,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// playFive plays a schedule to five instances.
+// runFiveInstances runs a schedule with five instances.
 func runFiveInstances(t *testing.T, seed uint64, schedule []change) *violation {
 	options := optionsForSeed(seed)
 	options.instances = 5
 	return playVirtual(t, options, schedule).violation
 }
 
-// Guards against an instance that stands by and learns of a drain late because those who serve die between two of their beats.
+// Guards against a standby instance that learns of a drain late because the serving instances die between two of their
+// heartbeats.
 func TestDrainedInTimeWhenLeadersDie(t *testing.T) {
 	require.Nil(t, runFiveInstances(t, 1138, []change{
 		{At: 11830, Kind: drainServer},
@@ -21,7 +22,7 @@
 	}))
 }
 
-// Guards against a reader that was cut off alone and still holds a removed server when it is in touch again.
+// Guards against a reader that was cut off alone and still holds a removed server when it is in contact again.
 func TestDrainedInTimeAfterACut(t *testing.T) {
 	require.Nil(t, runFiveInstances(t, 1043, []change{
 		{At: 11960, For: 1520, Kind: powerLoss},
--- a/internal/fleet/virtual_explore_test.go
+++ b/internal/fleet/virtual_explore_test.go
@@ -18,11 +18,11 @@
 const (
 	exploreFrom  = 3 * clock.Second
 	exploreEvery = clock.Second
-	// noteEvery is how many steps pass between two looks at the fleet's state.
+	// noteEvery is the number of steps between two records of the fleet's state.
 	noteEvery = 5
 )
 
-// alphabet is the changes that may happen in one second.
+// alphabet returns the changes that may happen in one second.
 func alphabet(instances int) []change {
 	list := []change{{Kind: nothing}, {Kind: storeDown, For: exploreEvery}, {Kind: configure}, {Kind: removeServer}, {Kind: powerLoss, For: exploreEvery / 4}}
 	for one := range instances {
@@ -39,7 +39,8 @@
 	return list
 }
 
-// explored is what an exploration has seen. Two states are the same when each instance has the same role, view and owners, and names the same addresses.
+// explored is what an exploration has seen. Two states are the same when each instance has the same role, view and owners, and
+// advertises the same addresses.
 type explored struct {
 	depth     int
 	changes   []change
@@ -49,17 +50,18 @@
 	states    map[string]bool
 }
 
-// Every order of a few changes to a small fleet, of which seeds draw only some, must leave it as the checks say.
+// TestVirtualFleetExplored runs every order of a few changes to a small fleet, of which random seeds draw only some. Each must
+// pass the checks.
 func TestVirtualFleetExplored(t *testing.T) {
 	scopes := []struct {
 		name                            string
 		instances, dataCentres, servers int
-		// depth and kinds are those of a short run; others take changes of all kinds.
+		// depth and kinds are those of a short run; longer runs take changes of all kinds.
 		depth int
 		kinds []changeKind
 	}{
 		{"all serve", 3, 2, 2, 2, []changeKind{nothing, removeServer, kill, stop, leave, cutOff}},
-		{"one stands by", 4, 1, 2, 1, nil},
+		{"one is standby", 4, 1, 2, 1, nil},
 	}
 	for _, scope := range scopes {
 		t.Run(scope.name, func(t *testing.T) {
@@ -84,12 +86,12 @@
 			})
 			t.Logf("%d instances, %d data centres, %d servers: %d schedules of depth %d out of %d changes, %d steps, %d states", scope.instances, scope.dataCentres,
 				scope.servers, explored.schedules, scope.depth, len(changes), explored.steps, len(explored.states))
-			t.Log("abstracted: changes begin once a second and last a second; datagrams of one second are lost or late together; requests end after 50 ms")
+			t.Log("abstracted: changes begin once a second and last a second; datagrams of one second are lost or delayed together; requests end after 50 ms")
 		})
 	}
 }
 
-// extend plays all schedules that begin with the given changes.
+// extend runs all schedules that begin with the given changes.
 func (explored *explored) extend(t *testing.T, options virtualOptions, schedule []change) {
 	if len(schedule) < explored.depth {
 		for _, next := range explored.changes {
@@ -126,7 +128,7 @@
 	explored.states[state] = true
 }
 
-// state is the fleet's as far as an exploration tells states apart.
+// state returns the state of the fleet as far as an exploration distinguishes states.
 func (fleet *virtualFleet) state() string {
 	var text strings.Builder
 	for _, machine := range fleet.machines {
--- a/internal/fleet/virtual_fleet_test.go
+++ b/internal/fleet/virtual_fleet_test.go
@@ -16,33 +16,33 @@
 
 const (
 	virtualStep = 10 * clock.Millisecond
-	// virtualPort is the first port of instances that take the place of others.
+	// virtualPort is the first port of instances that replace others.
 	virtualPort = 7001
 )
 
 // virtualFleet is a fleet in virtual time: the controllers and catalog readers of all instances, a store, and datagrams
-// between them. It runs in a synctest bubble. Each call of a reader starts and ends at a moment of its own, so that a schedule
-// plays the same way each time.
+// between them. It runs in a synctest bubble. Each call of a reader starts and ends at a time of its own, so that a schedule
+// has the same course each time.
 type virtualFleet struct {
 	options virtualOptions
 	clock   *clock.Clock
 	store   *virtualStore
 	checks  *checks
 
-	// mutex is held while a step is made, and by calls of readers between steps.
+	// mutex is held during a step, and by calls of readers between steps.
 	mutex     sync.Mutex
 	machines  []*machine
 	byAddress map[netip.AddrPort]*machine
 	random    *rand.Rand
 	schedule  []change
 	active    []change
-	wire      wire
+	network   network
 	steps     int
 	inTransit map[int][]packet
 	datagrams int
 }
 
-// virtualOptions is what a run is made from, besides its schedule.
+// virtualOptions are the parameters of a run besides its schedule.
 type virtualOptions struct {
 	seed        uint64
 	instances   int
@@ -51,14 +51,14 @@
 	length      clock.Milliseconds
 }
 
-// machine is where one instance runs at a time.
+// machine runs one instance at a time.
 type machine struct {
 	number     int
 	generation int
 	identity   membership.Identity
 	process    *process
 	startAt    clock.Moment
-	// disturbed is when its process or its links were last disturbed, and gone when its last process ended.
+	// disturbed is when its process or its links were last disturbed, stoppedAt when its last process ended.
 	disturbed clock.Moment
 	stoppedAt clock.Moment
 	received  []packet
@@ -71,7 +71,7 @@
 
 const never = clock.Moment(1e12)
 
-// newVirtualFleet must be called in a bubble.
+// newVirtualFleet must be called in a synctest bubble.
 func newVirtualFleet(options virtualOptions, schedule []change) *virtualFleet {
 	base := clock.New()
 	fleet := &virtualFleet{
@@ -85,11 +85,11 @@
 		fleet.machines = append(fleet.machines, machine)
 		fleet.setIdentity(machine)
 	}
-	fleet.wire = newWire(fleet)
+	fleet.network = newNetwork(fleet)
 	return fleet
 }
 
-// setIdentity names the machine's next processes.
+// setIdentity sets the identity of the machine's next processes.
 func (fleet *virtualFleet) setIdentity(machine *machine) {
 	machine.identity = identity(machine.number)
 	machine.identity.DataCentre = fleet.dataCentre(machine.number)
@@ -109,7 +109,7 @@
 	return settings.DataCentreName(fmt.Sprintf("dc-%d", number%fleet.options.dataCentres))
 }
 
-// seeds are the first machines, at most three.
+// seeds returns the addresses of the first machines, at most three.
 func (fleet *virtualFleet) seeds() []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for number := range min(3, fleet.options.instances) {
@@ -118,7 +118,7 @@
 	return seeds
 }
 
-// play runs until the time is over or something is wrong.
+// play runs until the time is over or a check fails.
 func (fleet *virtualFleet) play() *violation {
 	defer fleet.stop()
 	for end := fleet.clock.Now().Add(fleet.options.length); fleet.clock.Now() < end; {
@@ -148,8 +148,8 @@
 	return fleet.checks.check(now)
 }
 
-// run lets a machine do what it does in one step. A request that waited out a pause is placed before anything else happens: the worst
-// order.
+// run executes one step of a machine. A request that waited during a pause is sent before anything else happens, which is the
+// worst order.
 func (fleet *virtualFleet) run(machine *machine, now clock.Moment) {
 	if machine.process == nil && now >= machine.startAt {
 		fleet.start(machine, now)
@@ -191,7 +191,7 @@
 	machine.process = newProcess(fleet, machine, first)
 }
 
-// end ends a machine's process, whatever it does.
+// end ends the process of a machine, whatever its state.
 func (fleet *virtualFleet) end(machine *machine, now clock.Moment) {
 	if machine.process == nil {
 		return
@@ -212,20 +212,20 @@
 	synctest.Wait()
 }
 
-// send puts a datagram on its way.
+// send puts a datagram in transit unless it is lost.
 func (fleet *virtualFleet) send(from *machine, to netip.AddrPort, text []byte) {
 	receiver, known := fleet.byAddress[to]
-	if !known || receiver.identity.Peer != to.String() || !fleet.wire.passes(from, receiver) {
+	if !known || receiver.identity.Peer != to.String() || !fleet.network.passes(from, receiver) {
 		return
 	}
 	fleet.datagrams++
-	for range fleet.wire.copies(from, receiver) {
-		arrives := fleet.steps + 1 + int(fleet.wire.delay(from, receiver)/virtualStep)
+	for range fleet.network.copies(from, receiver) {
+		arrives := fleet.steps + 1 + int(fleet.network.delay(from, receiver)/virtualStep)
 		fleet.inTransit[arrives] = append(fleet.inTransit[arrives], packet{to: receiver, text: text})
 	}
 }
 
-// sleep lets virtual time pass, or returns early with the context's error.
+// sleep waits in virtual time, or returns early with the error of the context.
 func sleep(ctx context.Context, length clock.Milliseconds) error {
 	timer := time.NewTimer(length.Duration())
 	defer timer.Stop()
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -19,7 +19,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// process is one run of an instance: a controller that is driven step by step, and a reader that runs by itself.
+// process is one run of an instance: a controller that is driven step by step, and a catalog reader with a goroutine of its
+// own.
 type process struct {
 	loadGenerator
 
@@ -29,23 +30,24 @@
 	done    chan struct{}
 	started clock.Moment
 
-	// gate is open when nil; calls of the reader wait for it while the process is frozen. It is guarded by the fleet's mutex.
+	// gate is nil unless the process is frozen; calls of the reader wait until it is closed. It is guarded by the mutex of the
+	// fleet.
 	gate        chan struct{}
 	frozenUntil clock.Moment
 	suspends    bool
 	frozenAt    clock.Moment
-	// suspended is the time, in whole steps, that the process's clock did not count.
+	// suspended is the time, in whole steps, that the clock of the process did not count.
 	suspended atomic.Int64
 
 	nextProbe clock.Moment
-	// leftAt is when it was told to leave, leavesAt when it ends for that.
+	// leftAt is when Leave was called, leavesAt when the process ends because of that.
 	leftAt, leavesAt clock.Moment
-	// version and revision are the newest that it has followed.
+	// version and revision are the newest that it has had in force.
 	version  catalog.Version
 	revision catalog.Revision
 }
 
-// callTime is the time that half of a call of a reader takes.
+// callTime is the duration of half a call of a reader.
 const callTime = 2 * clock.Millisecond
 
 func newProcess(fleet *virtualFleet, machine *machine, first bool) *process {
@@ -77,7 +79,7 @@
 	return process
 }
 
-// stop ends the process; its reader ends by itself.
+// stop ends the process; its reader ends on its own goroutine.
 func (process *process) stop() {
 	process.cancel()
 	if process.gate != nil {
@@ -86,7 +88,7 @@
 	}
 }
 
-// time is what the process's own clock says.
+// time returns the time of the process's own clock.
 func (process *process) time(now clock.Moment) clock.Moment {
 	return now.Add(-clock.Milliseconds(process.suspended.Load()) * virtualStep)
 }
@@ -95,7 +97,7 @@
 	return now < process.frozenUntil
 }
 
-// freeze stops the process. A suspended machine's clock stands still as well.
+// freeze stops the process. The clock of a suspended machine stops as well.
 func (process *process) freeze(now clock.Moment, length clock.Milliseconds, suspends bool) {
 	if process.gate != nil {
 		return
@@ -112,7 +114,8 @@
 	process.gate = nil
 }
 
-// pass waits while the process is frozen, and for the time that half of a call takes, which no two processes end at one moment.
+// awaitCall waits while the process is frozen, and for the given part of a call. An offset for each machine makes sure that no
+// two processes end a call at the same time.
 func (process *process) awaitCall(ctx context.Context, length clock.Milliseconds) error {
 	offset := clock.Milliseconds(process.machine.number+1) * clock.Millisecond / 1000
 	err := sleep(ctx, length+offset)
@@ -129,7 +132,7 @@
 
 var errNoAnswer = errors.New("no answer from a peer")
 
-// fromPeer reads a peer's catalog, as the gateway does over HTTP.
+// fromPeer reads the catalog of a peer, as the gateway does over HTTP.
 func (process *process) fromPeer(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
 	if err := process.awaitCall(ctx, callTime); err != nil {
 		return catalog.Update{}, err
@@ -156,19 +159,20 @@
 	return update, err
 }
 
-// reach finds the process at an address, none if the machine refuses; it is not reached when the way there is cut.
+// reach returns the process at an address, or nil if the machine refuses the connection. The result is false if the path to
+// the machine is cut.
 func (process *process) reach(address netip.AddrPort) (*process, bool) {
 	fleet := process.fleet
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	machine, known := fleet.byAddress[address]
-	if !known || machine.identity.Peer != address.String() || fleet.wire.cut(process.machine, machine) || fleet.wire.cut(machine, process.machine) {
+	if !known || machine.identity.Peer != address.String() || fleet.network.cut(process.machine, machine) || fleet.network.cut(machine, process.machine) {
 		return nil, false
 	}
 	return machine.process, true
 }
 
-// takeEvents does what waits for the control goroutine.
+// takeEvents executes the events that wait for the control goroutine.
 func (process *process) takeEvents() {
 	for {
 		select {
--- a/internal/fleet/virtual_revoke_test.go
+++ b/internal/fleet/virtual_revoke_test.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// revokeAt is when keys go in a fleet that has settled, revokedWithin the bound from the store's change to the last refusal.
+	// revokeAt is when keys are revoked in a settled fleet, revokedWithin the maximum time from the store's change to the last
+	// refusal.
 	revokeAt      = 8 * clock.Second
 	revokedWithin = 500 * clock.Millisecond
 	// revokeCut is how long machines are cut off from the store.
@@ -26,7 +27,7 @@
 	revokedKey = team.DigestOf("revoked")
 )
 
-// setTeamKeys writes a configuration with one team that holds the keys.
+// setTeamKeys writes a configuration with one team that has the keys.
 func (store *virtualStore) setTeamKeys(keys ...team.KeyDigest) {
 	configuration := *store.configuration
 	configuration.NeedsKeys = true
@@ -35,7 +36,7 @@
 	store.configure()
 }
 
-// revocations plays a revocation and returns how long each instance went on to serve the key, in order.
+// revocations runs a revocation and returns how long each instance continued to accept the key, in ascending order.
 func revocations(t *testing.T, instances int, cut func(number int) bool) []clock.Milliseconds {
 	var delays []clock.Milliseconds
 	synctest.Test(t, func(*testing.T) {
@@ -78,7 +79,7 @@
 	return delays
 }
 
-// serves reports whether a request with the key would be let in.
+// serves reports whether a request with the key would be admitted.
 func (process *process) serves(digest team.KeyDigest) bool {
 	table := process.controller.Table()
 	if table == nil || table.Teams == nil {
@@ -88,14 +89,14 @@
 	return known
 }
 
-// hardestCut leaves the fewest instances that the store reaches. Above revokedInstances only that is played: the race detector makes a large
-// fleet slow.
+// hardestCut leaves the fewest instances that the store reaches. With more than maxInstancesAllCuts instances only that cut is
+// tested: the race detector makes a large fleet slow.
 const (
 	hardestCut          = "nine in ten are cut off from the store"
 	maxInstancesAllCuts = 117
 )
 
-// Guards against a revoked key that goes on to work at instances that have a path to one which knows.
+// Guards against a revoked key that continues to work at instances with a path to an instance that knows of the revocation.
 func TestRevocationReachesAll(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -11,7 +11,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// goneNotNamed is what the users judge: an instance that ended long ago is not named to callers, unless nobody else is.
+// stoppedNotAdvertised checks that an instance that ended long ago is not in address answers, unless there is no other
+// instance.
 func (checks *checks) stoppedNotAdvertised(now clock.Moment) string {
 	return checks.inContact(now, func(_ *machine, process *process) string {
 		book := process.controller.book.Load()
@@ -20,14 +21,15 @@
 		}
 		for _, machine := range checks.fleet.machines {
 			if machine.process == nil && now.Since(machine.stoppedAt) > maxStoppedAdvertised && slices.Contains(book.addresses, machine.identity.Caller) {
-				return fmt.Sprintf("names %s, which ended %s ago", machine.identity.Name, now.Since(machine.stoppedAt))
+				return fmt.Sprintf("advertises %s, which ended %s ago", machine.identity.Name, now.Since(machine.stoppedAt))
 			}
 		}
 		return ""
 	})
 }
 
-// leavingNotNamed is what a shutdown rests on: whoever holds an address answer from before comes while it still listens.
+// leavingNotAdvertised checks what a shutdown relies on: a caller with an earlier address answer arrives while the instance
+// still listens.
 func (checks *checks) leavingNotAdvertised(now clock.Moment) string {
 	for _, leaving := range checks.fleet.machines {
 		if leaving.process == nil || leaving.process.leftAt == 0 || now.Since(leaving.process.leftAt) <= maxLeavingAdvertised ||
@@ -36,7 +38,7 @@
 		}
 		if wrong := checks.inContact(now, func(machine *machine, process *process) string {
 			if book := process.controller.book.Load(); book != nil && slices.Contains(book.addresses, leaving.identity.Caller) {
-				return fmt.Sprintf("names %s, which leaves since %s", leaving.identity.Name, now.Since(leaving.process.leftAt))
+				return fmt.Sprintf("advertises %s, which has been leaving for %s", leaving.identity.Name, now.Since(leaving.process.leftAt))
 			}
 			return ""
 		}); wrong != "" {
@@ -46,8 +48,9 @@
 	return ""
 }
 
-// someoneServes holds in each data centre of an instance that was left alone for settledIn.
-func (checks *checks) someoneServes(now clock.Moment) string {
+// eachDataCentreServes checks that an instance serves in each data centre with an instance that was undisturbed for
+// settleTime.
+func (checks *checks) eachDataCentreServes(now clock.Moment) string {
 	able := map[settings.DataCentreName]settings.InstanceName{}
 	_ = checks.running(now, func(machine *machine, process *process) string {
 		if machine.undisturbed(now, settleTime) && process.leftAt == 0 && process.controller.Table() != nil {
@@ -68,13 +71,13 @@
 		gap := now.Since(checks.unservedSince[name])
 		checks.worstCase.unserved = max(checks.worstCase.unserved, gap)
 		if gap > settleTime {
-			return fmt.Sprintf("nobody serves in %s for %s, though %s could", name, gap, able[name])
+			return fmt.Sprintf("no instance has served in %s for %s, though %s could", name, gap, able[name])
 		}
 	}
 	return ""
 }
 
-// answersNameSomeone holds for an instance that was left alone for settledIn.
+// answersNameRunningInstance checks the answers of each instance that was undisturbed for settleTime.
 func (checks *checks) answersNameRunningInstance(now clock.Moment) string {
 	running := map[string]bool{}
 	_ = checks.running(now, func(machine *machine, _ *process) string {
@@ -92,13 +95,14 @@
 			checks.misdirectedSince[machine] = now
 		}
 		if since := now.Since(checks.misdirectedSince[machine]); since > settleTime {
-			return fmt.Sprintf("has named nobody who runs for %s", since)
+			return fmt.Sprintf("has advertised no running instance for %s", since)
 		}
 		return ""
 	})
 }
 
-// fewServe bounds how many serve while processes come and go and nothing else is disturbed: for a moment two for each place.
+// fewServe bounds how many instances serve while processes come and go and nothing else is disturbed: for a moment twice as
+// many as wanted.
 func (checks *checks) fewServe(now clock.Moment) string {
 	serving, sum := checks.serving(now), 0
 	for _, count := range serving {
@@ -111,12 +115,12 @@
 	dataCentres := min(checks.fleet.options.dataCentres, checks.fleet.options.instances)
 	limit := 2 * dataCentres * ((3 + dataCentres - 1) / dataCentres)
 	if sum > limit {
-		return fmt.Sprintf("%d serve, %d at most: %v", sum, limit, serving)
+		return fmt.Sprintf("%d instances serve, at most %d may: %v", sum, limit, serving)
 	}
 	return ""
 }
 
-// settled says how a fleet is that was left alone for settledIn.
+// settled checks the state of a fleet that was undisturbed for settleTime.
 func (checks *checks) settled(now clock.Moment) string {
 	if now.Since(checks.disturbed) < settleTime {
 		return ""
@@ -125,7 +129,7 @@
 	serving := checks.serving(now)
 	for name, count := range living {
 		if expected := min(count, wanted); serving[name] != expected {
-			return fmt.Sprintf("%d serve in %s, not %d of %d", serving[name], name, expected, count)
+			return fmt.Sprintf("%d instances serve in %s, not %d of %d", serving[name], name, expected, count)
 		}
 	}
 	owners := checks.ownersOfAny(now)
@@ -140,9 +144,9 @@
 		case serves != (controller.role != catalog.RoleFollow):
 			return "reads the store if and only if it does not serve"
 		case unchanged && !maps.Equal(owners, controller.owners):
-			return fmt.Sprintf("takes others for the owners: %v, not %v", controller.owners, owners)
+			return fmt.Sprintf("has wrong owners: %v, not %v", controller.owners, owners)
 		case serves && checks.complete() && controller.members.Sight() < 1:
-			return fmt.Sprintf("sees %.2f of a fleet that is complete", controller.members.Sight())
+			return fmt.Sprintf("sees a fraction of %.2f of a complete fleet", controller.members.Sight())
 		}
 		return checks.advertisedServe(controller)
 	})
@@ -164,14 +168,14 @@
 	return owners
 }
 
-// named says whether addresses are those of instances that serve.
+// advertisedServe checks that all advertised addresses belong to serving instances.
 func (checks *checks) advertisedServe(controller *Controller) string {
 	for _, address := range controller.book.Load().addresses {
 		serves := slices.ContainsFunc(checks.fleet.machines, func(machine *machine) bool {
 			return machine.process != nil && machine.identity.Caller == address && machine.process.controller.members.State() == membership.Serving
 		})
 		if !serves {
-			return fmt.Sprintf("names %s, which does not serve", address)
+			return fmt.Sprintf("advertises %s, which does not serve", address)
 		}
 	}
 	return ""
--- a/internal/fleet/virtual_store_test.go
+++ b/internal/fleet/virtual_store_test.go
@@ -16,17 +16,17 @@
 const (
 	slowAnswerDelay = 400 * clock.Millisecond
 	replicaLag      = 1500 * clock.Millisecond
-	// leaseOfServers is how long a server's entry stays while it can't be renewed.
+	// serverLease is how long the entry of a server stays without being renewed.
 	serverLease = 3 * clock.Second
 )
 
-// virtualStore is a platform's store. All that it ever held is kept, so that an answer may be from a copy that lags. It is guarded by the
-// fleet's mutex.
+// virtualStore is the store of a platform. It keeps all states that it ever had, so that an answer may come from a replica
+// that lags. It is guarded by the mutex of the fleet.
 type virtualStore struct {
 	fleet   *virtualFleet
 	states  []storeState
 	changed chan struct{}
-	// refusing and harmed are when it last turned machines away, and when it last was down, slow or behind.
+	// refusingAt is when it last refused machines, degradedAt when it was last down, slow or lagging.
 	refusingAt, degradedAt clock.Moment
 	version                catalog.Version
 	configuration          *catalog.Configuration
@@ -35,11 +35,11 @@
 	expired                []expiredServer
 	// left is when servers became leaving, or were removed for good, while the store was stable.
 	left map[settings.TargetName]clock.Moment
-	// out is since when data centres are out.
+	// out is when data centres were taken out.
 	out map[settings.DataCentreName]clock.Moment
 }
 
-// storeState is all that the store held from a moment on.
+// storeState is the content of the store from a certain time on.
 type storeState struct {
 	revision catalog.Revision
 	at       clock.Moment
@@ -66,7 +66,7 @@
 	return store
 }
 
-// write makes the next state. A nil item removes the key.
+// write adds the next state. A nil item removes the key.
 func (store *virtualStore) write(key catalog.Key, item *catalog.Item) {
 	last := store.states[len(store.states)-1]
 	items := maps.Clone(last.items)
@@ -95,7 +95,7 @@
 	store.write(catalog.ServerKey(server.Name), &catalog.Item{Server: &server})
 }
 
-// held returns the servers that the newest state lists, by key.
+// listed returns the servers of the newest state in the order of their keys.
 func (store *virtualStore) listed() []catalog.Server {
 	items := store.states[len(store.states)-1].items
 	var servers []catalog.Server
@@ -107,7 +107,7 @@
 	return servers
 }
 
-// change gives a server another state, or removes it.
+// change sets the state of a server, or removes the server if the state is empty.
 func (store *virtualStore) change(server catalog.Server, state catalog.ServerState) {
 	now := store.fleet.clock.Now()
 	if _, left := store.left[server.Name]; !left && store.stable(now) {
@@ -121,7 +121,7 @@
 	store.write(catalog.ServerKey(server.Name), &catalog.Item{Server: &server})
 }
 
-// setOut takes a data centre out, or back.
+// setOut takes a data centre out, or back in.
 func (store *virtualStore) setOut(name settings.DataCentreName) {
 	if _, out := store.out[name]; out {
 		delete(store.out, name)
@@ -132,12 +132,12 @@
 	store.write(catalog.OutKey(name), &catalog.Item{Out: name})
 }
 
-// stable reports whether the store was undisturbed for long enough.
+// stable reports whether the store was undisturbed for contactTime.
 func (store *virtualStore) stable(now clock.Moment) bool {
 	return now.Since(max(store.refusingAt, store.degradedAt)) >= contactTime
 }
 
-// source is the store as a process reaches it.
+// source returns the store as a process reaches it.
 func (store *virtualStore) source(process *process) catalog.Source {
 	return catalog.Source{
 		ReadAll:   func(ctx context.Context) (catalog.Snapshot, error) { return store.read(ctx, process, store.visible) },
@@ -148,7 +148,7 @@
 	}
 }
 
-// read answers with all of a state.
+// read answers with the whole content of a state.
 func (store *virtualStore) read(ctx context.Context, process *process, choose func() *storeState) (catalog.Snapshot, error) {
 	if err := store.admit(ctx, process); err != nil {
 		return catalog.Snapshot{}, err
@@ -163,20 +163,20 @@
 	return snapshot, process.awaitCall(ctx, callTime)
 }
 
-// admit takes a call, or refuses it, or lets it hang.
+// admit accepts a call, refuses it, or lets it hang.
 func (store *virtualStore) admit(ctx context.Context, process *process) error {
 	if err := process.awaitCall(ctx, callTime); err != nil {
 		return err
 	}
 	store.fleet.mutex.Lock()
-	end := store.fleet.wire.links[process.machine.number]
-	hangs, slow := end.storeUnreachable || store.fleet.isActive(storeDown), store.fleet.isActive(storeSlow)
+	link := store.fleet.network.links[process.machine.number]
+	hangs, slow := link.storeUnreachable || store.fleet.isActive(storeDown), store.fleet.isActive(storeSlow)
 	store.fleet.mutex.Unlock()
 	switch {
 	case hangs:
 		<-ctx.Done()
 		return errors.CombineErrors(process.awaitCall(ctx, 0), ctx.Err())
-	case end.storeRefuses:
+	case link.storeRefuses:
 		return errors.CombineErrors(process.awaitCall(ctx, callTime), errStoreRefuses)
 	case slow:
 		return process.awaitCall(ctx, slowAnswerDelay)
@@ -185,7 +185,7 @@
 	}
 }
 
-// seen is the state from which the store answers.
+// visible returns the state from which the store answers.
 func (store *virtualStore) visible() *storeState {
 	if store.fleet.isActive(storeLags) {
 		return store.lagged()
@@ -193,7 +193,7 @@
 	return &store.states[len(store.states)-1]
 }
 
-// old is the state of a copy that lags.
+// lagged returns the state of a replica that lags.
 func (store *virtualStore) lagged() *storeState {
 	newest := len(store.states) - 1
 	for now := store.fleet.clock.Now(); newest > 0 && now.Since(store.states[newest].at) < replicaLag; {
@@ -228,7 +228,7 @@
 	}
 }
 
-// since returns what has changed after a revision, if that is known.
+// since returns the changes after a revision, and false if the store no longer has that revision.
 func (store *virtualStore) since(after catalog.Revision) (catalog.Changes, bool) {
 	state := store.visible()
 	changes := catalog.Changes{Revision: max(state.revision, after)}
@@ -262,14 +262,14 @@
 	return left.Server == right.Server && left.Configuration == right.Configuration && left.Out == right.Out
 }
 
-// lapsedServer is a server whose entry has lapsed and that writes it anew.
+// expiredServer is a server whose entry has expired and which writes it again at backAt.
 type expiredServer struct {
 	server catalog.Server
 	backAt clock.Moment
 }
 
-// lapse removes the entries of servers that could not renew them, as the store does after it was away for long. They are back within
-// two seconds.
+// expireServers removes the entries of servers that could not renew them, as the store does after it was down for long. The
+// servers write them again within two seconds.
 func (store *virtualStore) expireServers(now clock.Moment) {
 	for index, server := range store.listed() {
 		if server.State == catalog.ServerReady {
@@ -279,7 +279,7 @@
 	}
 }
 
-// renew has servers write their entries anew.
+// renewServers writes the entries of expired servers again when they are due.
 func (store *virtualStore) renewServers(now clock.Moment) {
 	store.expired = slices.DeleteFunc(store.expired, func(expired expiredServer) bool {
 		if now < expired.backAt {
--- a/internal/fleet/virtual_test.go
+++ b/internal/fleet/virtual_test.go
@@ -16,10 +16,10 @@
 var (
 	virtualSeed      = flag.Uint64("virtual.seed", 1, "first seed of the fleet in virtual time")
 	virtualSeeds     = flag.Int("virtual.seeds", 10, "number of seeds")
-	virtualInstances = flag.Int("virtual.instances", 0, "number of instances, 0 for what the seed says")
+	virtualInstances = flag.Int("virtual.instances", 0, "number of instances, 0 for the number that the seed determines")
 )
 
-// sizes are the numbers of instances that seeds choose from.
+// sizes are the numbers of instances of which a seed determines one.
 var sizes = []int{5, 5, 6, 7, 8, 9, 10, 12, 13, 17, 30, 100}
 
 func optionsForSeed(seed uint64) virtualOptions {
@@ -32,7 +32,7 @@
 	return options
 }
 
-// played is what came of a run.
+// runResult is the result of a run.
 type runResult struct {
 	violation *violation
 	worstCase worstCase
@@ -50,8 +50,9 @@
 	return result
 }
 
-// Instances are killed, frozen, replaced, cut off and told to leave, datagrams are lost, late and doubled, and the store is down, refuses, lags and
-// forgets, all at once. Whatever the order, the fleet must keep what the checks say.
+// Guards against combinations of faults, in any order: instances are killed, frozen, replaced, cut off and leave, datagrams
+// are lost, delayed and duplicated, and the store is down, refuses calls, lags and discards its history. The fleet must pass
+// all checks.
 func TestVirtualFleet(t *testing.T) {
 	var mutex sync.Mutex
 	var all runResult
@@ -73,11 +74,11 @@
 			})
 		}
 	})
-	t.Logf("%d seeds, %d steps, %d datagrams; at worst: nobody served in a data centre for %s, a configuration was %s late, %d served, a cold server got %d in a second",
+	t.Logf("%d seeds, %d steps, %d datagrams; worst: no instance served in a data centre for %s, configuration %s late, %d served, %d requests to a cold server in a second",
 		*virtualSeeds, all.steps, all.datagrams, all.worstCase.unserved, all.worstCase.configured, all.worstCase.serving, all.worstCase.sent)
 }
 
-// A seed that plays differently each time could not be traced, nor its schedule be made shorter.
+// Guards against a seed whose run differs each time: it could not be traced, nor could its schedule be shortened.
 func TestVirtualFleetRepeats(t *testing.T) {
 	options := optionsForSeed(3)
 	schedule := newSchedule(options)
@@ -85,7 +86,7 @@
 	require.Equal(t, first, playVirtual(t, options, schedule))
 }
 
-// failVirtual prints the shortest schedule that still fails.
+// failVirtual fails the test with the shortest schedule that still fails.
 func failVirtual(t *testing.T, options virtualOptions, schedule []change, found *violation) {
 	short := shrink(schedule, func(candidate []change) bool {
 		result := playVirtual(t, options, candidate)
@@ -103,7 +104,7 @@
 		options.instances, options.dataCentres, options.seed, clock.Milliseconds(last.violation.at), len(short), len(schedule), lines.String())
 }
 
-// shrink leaves out changes, and makes them shorter, as long as the schedule fails.
+// shrink removes changes from a schedule, and shortens them, as long as it fails.
 func shrink(schedule []change, fails func([]change) bool) []change {
 	for size := max(len(schedule)/2, 1); size > 0; size /= 2 {
 		for start := 0; start < len(schedule); {
