--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -10,9 +10,9 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Servers fail most requests for a while, instances that serve are restarted and others take over, and callers repeat on their
-// own. Instances count retries by themselves; over any ten seconds the fleet must still not send more of them than was agreed,
-// or the retries keep the servers down.
+// Guards against a fleet that sends more retries in ten seconds than was agreed, which would keep failing servers down.
+// Servers fail most requests for a while, serving instances are restarted and others take over, callers retry on their own,
+// and each instance counts only its own retries.
 func TestFleetKeepsTheRetryBudget(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -35,10 +35,10 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 5))
 			newBudget := func() *service.RetryBudget {
-				return service.NewSharedRetryBudget(share*budgetMargin, testCase.slack/budgetShares)
+				return service.NewSharedRetryBudget(share*retryBudgetMargin, testCase.slack/retryBudgetShares)
 			}
 			budgets := []*service.RetryBudget{newBudget(), newBudget(), newBudget()}
-			var asked, again []clock.Moment
+			var asked, repeated []clock.Moment
 			nextRestart := clock.Moment(testCase.restarts)
 			for now := clock.Moment(0); now < clock.Moment(length); now = now.Add(clock.Milliseconds(random.ExpFloat64() * 1000 / testCase.perSecond)) {
 				if testCase.restarts > 0 && now >= nextRestart {
@@ -48,17 +48,17 @@
 				budget := budgets[random.IntN(serving)]
 				budget.Earn()
 				asked = append(asked, now)
-				// For ten seconds in twenty all requests are sent as often as may be, after savings have filled up.
+				// In ten of every twenty seconds all requests are retried as often as the budget allows, after saved retries have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
 				for failing && budget.Spend() {
-					again = append(again, now)
+					repeated = append(repeated, now)
 				}
 			}
-			for _, from := range again {
-				requests, retries := within(asked, from, window), within(again, from, window)
+			for _, from := range repeated {
+				requests, retries := within(asked, from, window), within(repeated, from, window)
 				require.LessOrEqual(t, float64(retries), share*float64(requests)+float64(testCase.slack))
 			}
-			require.Greater(t, float64(len(again)), 0.4*share*float64(len(asked)), "retries that could have saved requests were not sent")
+			require.Greater(t, float64(len(repeated)), 0.4*share*float64(len(asked)), "retries that could have saved requests were not sent")
 		})
 	}
 }
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -18,7 +18,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// fixture is one instance that stands by, with what it hears of the others, and what it has its reader do.
+// fixture is one standby instance, with the heartbeats that it receives of the others and the calls that it makes to its
+// catalog reader.
 type fixture struct {
 	controller *Controller
 	clock      *clock.Manual
@@ -26,12 +27,12 @@
 	awake      *clock.Manual
 	serving    []membership.Identity
 	sequence   uint64
-	leads      bool
+	readsStore bool
 	refreshed  bool
 	staleReads int
-	// peerFailing is what its reader says of its peers.
+	// peerFailing is what its catalog reader reports of its peers.
 	peerFailing bool
-	follows     catalog.Revision
+	followed    catalog.Revision
 }
 
 const fixtureDataCentres = 4
@@ -45,45 +46,45 @@
 	}
 }
 
-// newFixture makes an instance that has just started and has heard nobody.
+// newFixture returns an instance that has just started and has received no heartbeat.
 func newFixture(self int, seeds ...int) *fixture {
 	fixture := &fixture{clock: clock.NewManual(), awake: clock.NewManual()}
-	fixture.pass(clock.Second)
+	fixture.advance(clock.Second)
 	var addresses []netip.AddrPort
 	for _, seed := range seeds {
 		addresses = append(addresses, netip.MustParseAddrPort(identity(seed).Peer))
 	}
 	fixture.controller = NewController(Options{
-		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, Awake: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
+		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, BootClock: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
 		Seeds: addresses, Servers: backendserver.NewServers(&fixture.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 		Bounds: settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000}, FleetStarts: true,
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
-	fixture.controller.SetFeed(Feed{
-		SetRole: func(role catalog.Role) { fixture.leads = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.follows = revision },
+	fixture.controller.SetCatalogReader(CatalogReader{
+		SetRole: func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.followed = revision },
 		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
-		Contact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
+		LastContact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
 	})
 	return fixture
 }
 
-// pass lets time pass on both clocks.
-func (fixture *fixture) pass(length clock.Milliseconds) {
+// advance advances both clocks.
+func (fixture *fixture) advance(length clock.Milliseconds) {
 	fixture.clock.Advance(length)
 	fixture.awake.Advance(length)
 }
 
-// hear lets the instance hear another one.
-func (fixture *fixture) hear(number int, state membership.State, revision catalog.Revision) {
+// receiveHeartbeat passes a heartbeat of another instance to the controller.
+func (fixture *fixture) receiveHeartbeat(number int, state membership.State, revision catalog.Revision) {
 	fixture.sequence++
-	fixture.controller.hear(&Message{Beat: &membership.Heartbeat{
+	fixture.controller.receiveMessage(&Message{Heartbeat: &membership.Heartbeat{
 		Identity: identity(number), Incarnation: 1, Sequence: fixture.sequence, State: state, Revision: revision, Version: 1, CatalogFresh: true,
 	}})
 }
 
-// newStandby makes an instance that stands by in a fleet of which one instance in each data centre serves.
-func newStandby(tb testing.TB, instances, targets int) *fixture {
+// newStandbyFixture returns a standby instance in a fleet of which one instance in each data centre serves.
+func newStandbyFixture(tb testing.TB, instances, targets int) *fixture {
 	fixture := newFixture(instances - 1)
 	for number := range instances - 1 {
 		state := membership.Standby
@@ -91,17 +92,17 @@
 			state = membership.Serving
 			fixture.serving = append(fixture.serving, identity(number))
 		}
-		fixture.hear(number, state, 1)
+		fixture.receiveHeartbeat(number, state, 1)
 	}
-	fixture.controller.applyView(view(targets, fixtureDataCentres))
-	fixture.pass(clock.Second)
-	fixture.second()
+	fixture.controller.applyView(newView(targets, fixtureDataCentres))
+	fixture.advance(clock.Second)
+	fixture.advanceSecond()
 	require.Equal(tb, membership.Standby, fixture.controller.members.State())
 	return fixture
 }
 
-// view has the given number of backend servers in three services.
-func view(targets, dataCentres int) *catalog.View {
+// newView returns a view with the given number of backend servers in three services.
+func newView(targets, dataCentres int) *catalog.View {
 	view := &catalog.View{Revision: 1, Configuration: &catalog.Configuration{
 		Version: 1, Services: map[settings.ServiceName]catalog.ServiceLimits{"lookups": {}, "payments": {}, "exports": {}},
 	}}
@@ -121,13 +122,13 @@
 	return view
 }
 
-// second lets a second pass: ticks, and a beat from each serving instance.
-func (fixture *fixture) second() {
+// advanceSecond advances the clocks by a second, with ticks and a heartbeat of each serving instance.
+func (fixture *fixture) advanceSecond() {
 	for number := range fixture.serving {
-		fixture.hear(number, membership.Serving, 1)
+		fixture.receiveHeartbeat(number, membership.Serving, 1)
 	}
-	for passed := clock.Milliseconds(0); passed < clock.Second; passed += tickStandby {
-		fixture.pass(tickStandby)
+	for passed := clock.Milliseconds(0); passed < clock.Second; passed += standbyTickInterval {
+		fixture.advance(standbyTickInterval)
 		fixture.controller.tick()
 	}
 }
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -13,10 +13,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// datagramMost is what fits one packet beside the headers, in bytes.
-const datagramMost = 1400
+// maxDatagramSize is the size of a datagram that fits into one packet with the headers, in bytes.
+const maxDatagramSize = 1400
 
-// manyTeams returns teams with a limit that one request does not reach.
+// manyTeams returns teams with a rate limit that one request does not reach.
 func manyTeams(count int) []team.Team {
 	teams := make([]team.Team, count)
 	for index := range teams {
@@ -26,7 +26,7 @@
 	return teams
 }
 
-// Guards against reports that are cut or lost on the way for their length, however many teams ask.
+// Guards against reports that are truncated or lost in transit because of their length, however many teams send requests.
 func TestReportsFitADatagram(t *testing.T) {
 	for _, count := range []int{1, 79, 100, 10_000} {
 		manual := clock.NewManual()
@@ -40,21 +40,22 @@
 			ledger.Admit(teams[index].Name)
 		}
 		reports := ledger.Reports(1 << 63)
-		whole := 0
+		total := 0
 		for index := range reports {
 			datagram, err := Encode(&Message{Quota: &reports[index]})
 			require.NoError(t, err)
-			require.LessOrEqual(t, len(datagram), datagramMost)
-			whole += len(datagram)
+			require.LessOrEqual(t, len(datagram), maxDatagramSize)
+			total += len(datagram)
 			decoded, err := Decode(datagram)
 			require.NoError(t, err)
 			require.Equal(t, reports[index], *decoded.Quota)
 		}
-		t.Logf("%d teams: %d datagrams, %d bytes", count, len(reports), whole)
+		t.Logf("%d teams: %d datagrams, %d bytes", count, len(reports), total)
 	}
 }
 
-// Guards against a datagram of anybody's that empties a team's bucket for much longer than a second, or fills it beyond its burst.
+// Guards against a datagram of any sender that empties a team's bucket for much longer than a second, or fills it beyond its
+// burst.
 func FuzzReport(f *testing.F) {
 	manual := clock.NewManual()
 	known := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
@@ -87,23 +88,24 @@
 		ledger.Receive(*message.Quota)
 		require.LessOrEqual(t, ledger.Usage()[0].Level, full)
 		manual.Advance(1200 * clock.Millisecond)
-		_, letIn := ledger.Admit("team-0")
-		require.True(t, letIn)
+		_, admitted := ledger.Admit("team-0")
+		require.True(t, admitted)
 	})
 }
 
-// Guards against an unknown key that is refused for good by an instance that has not heard of the newest configuration.
+// Guards against an instance that does not have the newest configuration and refuses an unknown key for good.
 func TestKeysAreUnsureUntilTheViewIsFresh(t *testing.T) {
-	fixture := newStandby(t, 20, 12)
-	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
-	fixture.pass(currentFor + 3*tickStandby)
+	fixture := newStandbyFixture(t, 20, 12)
+	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
+	fixture.advance(freshViewTimeout + 3*standbyTickInterval)
 	fixture.controller.tick()
-	require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
-	fixture.second()
-	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
+	require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
+	fixture.advanceSecond()
+	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 }
 
-// Guards against revoked keys that work for ever at an instance which hears nobody, where operators don't want that.
+// Guards against revoked keys that work forever at an instance which receives no messages, if operators have configured it to
+// fail closed.
 func TestFailClosed(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -115,14 +117,14 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			fixture := newStandby(t, 20, 12)
+			fixture := newStandbyFixture(t, 20, 12)
 			fixture.controller.options.Bounds = settings.GatewayBounds{ProbesPerSecond: 60, FailClosed: testCase.closed, RevokeWithin: 5 * clock.Second}
-			fixture.pass(4 * clock.Second)
+			fixture.advance(4 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
-			fixture.pass(2 * clock.Second)
+			require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
+			fixture.advance(2 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, testCase.expected, fixture.controller.Keys())
+			require.Equal(t, testCase.expected, fixture.controller.KeyStatus())
 		})
 	}
 }
--- a/internal/fleet/virtual_change_test.go
+++ b/internal/fleet/virtual_change_test.go
@@ -12,7 +12,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// changeKind is what happens to a fleet, its links, its store or its servers.
+// changeKind is the kind of a change to a fleet, its links, its store or its servers.
 type changeKind string
 
 // Changes to instances.
@@ -26,7 +26,7 @@
 	replace     changeKind = "replace"
 )
 
-// Changes to links, which last.
+// Changes to links, all of which have a duration.
 const (
 	cutOneWay changeKind = "cutOneWay"
 	cutOff    changeKind = "cutOff"
@@ -36,7 +36,7 @@
 	doubled   changeKind = "doubled"
 )
 
-// Changes to the store, all but the last of which last.
+// Changes to the store, all but the last of which have a duration.
 const (
 	storeCut     changeKind = "storeCut"
 	storeRefuses changeKind = "storeRefuses"
@@ -46,7 +46,7 @@
 	storeForgets changeKind = "storeForgets"
 )
 
-// Changes to what the store holds.
+// Changes to the content of the store.
 const (
 	nothing       changeKind = "nothing"
 	configure     changeKind = "configure"
@@ -62,7 +62,7 @@
 	storeDown, storeSlow, storeLags, storeForgets, configure, drainServer, removeServer, addServer, takeOut, restartServer,
 }
 
-var lastingKinds = []changeKind{cutOneWay, cutOff, partition, lossy, late, doubled, storeCut, storeRefuses, storeDown, storeSlow, storeLags}
+var timedKinds = []changeKind{cutOneWay, cutOff, partition, lossy, late, doubled, storeCut, storeRefuses, storeDown, storeSlow, storeLags}
 
 // change is one entry of a schedule. One and Other are machines, or servers in the order of their names.
 type change struct {
@@ -73,25 +73,25 @@
 	Other int
 }
 
-// String writes the change as the literal that a case takes.
+// String returns the change as the literal that a test case contains.
 func (change change) String() string {
 	return fmt.Sprintf("{At: %.0f, For: %.0f, Kind: %s, One: %d, Other: %d},", float64(change.At), float64(change.For), change.Kind, change.One, change.Other)
 }
 
-// Times of a schedule: the fleet settles at first, and again at the end.
+// Times of a schedule: the fleet settles at the start, and again at the end.
 const (
-	settlesFirst = 7 * clock.Second
-	settlesLast  = 9 * clock.Second
-	longest      = 5 * clock.Second
+	initialSettleTime = 7 * clock.Second
+	finalSettleTime   = 9 * clock.Second
+	maxChangeLength   = 5 * clock.Second
 )
 
-// denseEvery is how many seeds there are for one in which so much happens that the fleet never comes to rest.
+// denseEvery is the number of seeds of which one has so many changes that the fleet never settles.
 const denseEvery = 4
 
-// newSchedule draws changes for a run. Some come in a row, as when instances are restarted one after the other.
+// newSchedule draws the changes of a run. Some of them are repeated, as when instances are restarted one after another.
 func newSchedule(options virtualOptions) []change {
 	random := rand.New(rand.NewPCG(options.seed, 11))
-	span := options.length - settlesFirst - settlesLast
+	span := options.length - initialSettleTime - finalSettleTime
 	var schedule []change
 	count := 2 + random.IntN(10)
 	if options.seed%denseEvery == 0 {
@@ -99,8 +99,8 @@
 	}
 	for range count {
 		drawn := change{
-			At:  clock.Moment(settlesFirst + clock.Milliseconds(random.IntN(int(span)/10)*10)),
-			For: clock.Milliseconds(100 + random.IntN(int(longest)/10)*10), Kind: changeKinds[random.IntN(len(changeKinds))],
+			At:  clock.Moment(initialSettleTime + clock.Milliseconds(random.IntN(int(span)/10)*10)),
+			For: clock.Milliseconds(100 + random.IntN(int(maxChangeLength)/10)*10), Kind: changeKinds[random.IntN(len(changeKinds))],
 			One: random.IntN(options.instances), Other: random.IntN(options.instances),
 		}
 		schedule = append(schedule, drawn)
@@ -111,7 +111,7 @@
 			next := drawn
 			next.At = drawn.At.Add(clock.Milliseconds(again+1) * clock.Milliseconds(10*random.IntN(100)))
 			next.One, next.Other = (drawn.One+again+1)%options.instances, random.IntN(options.instances)
-			if next.At < clock.Moment(options.length-settlesLast) {
+			if next.At < clock.Moment(options.length-finalSettleTime) {
 				schedule = append(schedule, next)
 			}
 		}
@@ -120,21 +120,21 @@
 	return schedule
 }
 
-// follow begins and ends changes that are due.
-func (fleet *virtualFleet) follow(now clock.Moment) {
+// applySchedule begins and ends the changes that are due.
+func (fleet *virtualFleet) applySchedule(now clock.Moment) {
 	before := len(fleet.active)
 	fleet.active = slices.DeleteFunc(fleet.active, func(change change) bool {
-		over := now >= fleet.from(change).Add(change.For)
-		if over && change.Kind == storeDown && change.For >= leaseOfServers {
-			fleet.store.lapse(now)
+		over := now >= fleet.startOf(change).Add(change.For)
+		if over && change.Kind == storeDown && change.For >= serverLease {
+			fleet.store.expireServers(now)
 		}
 		return over
 	})
 	refresh := len(fleet.active) != before
-	for len(fleet.schedule) > 0 && now >= fleet.from(fleet.schedule[0]) {
+	for len(fleet.schedule) > 0 && now >= fleet.startOf(fleet.schedule[0]) {
 		next := fleet.schedule[0]
 		fleet.schedule = fleet.schedule[1:]
-		if slices.Contains(lastingKinds, next.Kind) {
+		if slices.Contains(timedKinds, next.Kind) {
 			fleet.active = append(fleet.active, next)
 			refresh = true
 			continue
@@ -143,14 +143,14 @@
 		fleet.changeStore(next, now)
 	}
 	if refresh {
-		fleet.wire.refresh(fleet.active)
+		fleet.network.refresh(fleet.active)
 	}
-	fleet.disturb(now)
-	fleet.store.renew(now)
+	fleet.markDisturbed(now)
+	fleet.store.renewServers(now)
 }
 
-// from is when a change begins, by the fleet's clock.
-func (fleet *virtualFleet) from(change change) clock.Moment {
+// startOf returns when a change begins by the clock of the fleet.
+func (fleet *virtualFleet) startOf(change change) clock.Moment {
 	return change.At.Add(clock.Second)
 }
 
@@ -190,10 +190,10 @@
 	machine.startAt = now.Add(after)
 }
 
-// Times of leaving: callers are still let in until listenUntil, and requests end until leaveMost.
+// Times of leaving: requests of callers are accepted until listenUntil, and end by maxLeaveTime.
 const (
-	listenUntil = 2700 * clock.Millisecond
-	leaveMost   = 6 * clock.Second
+	listenUntil  = 2700 * clock.Millisecond
+	maxLeaveTime = 6 * clock.Second
 )
 
 func (fleet *virtualFleet) leave(machine *machine, now clock.Moment, after clock.Milliseconds) {
@@ -201,16 +201,16 @@
 	if process == nil || process.leftAt > 0 {
 		return
 	}
-	// The inbox has room: it is emptied with each step.
+	// The inbox is not full: it is emptied in each step.
 	_ = process.controller.Leave(context.Background())
 	process.leftAt = now
-	process.leavesAt = now.Add(listenUntil + clock.Milliseconds(fleet.random.Float64())*(leaveMost-listenUntil))
+	process.leavesAt = now.Add(listenUntil + clock.Milliseconds(fleet.random.Float64())*(maxLeaveTime-listenUntil))
 	machine.startAt = process.leavesAt.Add(after)
 }
 
 func (fleet *virtualFleet) changeStore(change change, now clock.Moment) {
 	store := fleet.store
-	held := store.held()
+	held := store.listed()
 	var server catalog.Server
 	if len(held) > 0 {
 		server = held[change.One%len(held)]
@@ -218,7 +218,7 @@
 	switch change.Kind {
 	case storeForgets:
 		store.forgotten = store.states[len(store.states)-1].revision
-		store.harmed = now
+		store.degradedAt = now
 	case configure:
 		store.configure()
 	case addServer:
--- a/internal/fleet/virtual_revoke_test.go
+++ b/internal/fleet/virtual_revoke_test.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// revokeAt is when keys go in a fleet that has settled, revokedWithin the bound from the store's change to the last refusal.
+	// revokeAt is when keys are revoked in a settled fleet, revokedWithin the maximum time from the store's change to the last
+	// refusal.
 	revokeAt      = 8 * clock.Second
 	revokedWithin = 500 * clock.Millisecond
 	// revokeCut is how long machines are cut off from the store.
@@ -26,7 +27,7 @@
 	revokedKey = team.DigestOf("revoked")
 )
 
-// setTeamKeys writes a configuration with one team that holds the keys.
+// setTeamKeys writes a configuration with one team that has the keys.
 func (store *virtualStore) setTeamKeys(keys ...team.KeyDigest) {
 	configuration := *store.configuration
 	configuration.NeedsKeys = true
@@ -35,9 +36,9 @@
 	store.configure()
 }
 
-// revocations plays a revocation and returns how long each instance went on to serve the key, in order.
+// revocations runs a revocation and returns how long each instance continued to accept the key, in ascending order.
 func revocations(t *testing.T, instances int, cut func(number int) bool) []clock.Milliseconds {
-	var lasted []clock.Milliseconds
+	var delays []clock.Milliseconds
 	synctest.Test(t, func(*testing.T) {
 		options := virtualOptions{seed: 5, instances: instances, dataCentres: 3, servers: 6}
 		var schedule []change
@@ -71,14 +72,14 @@
 		for number, machine := range fleet.machines {
 			require.NotZero(t, ended[number], "instance %d still serves the key", number)
 			require.True(t, machine.process.serves(keptKey))
-			lasted = append(lasted, ended[number].Since(revoked))
+			delays = append(delays, ended[number].Since(revoked))
 		}
 	})
-	slices.Sort(lasted)
-	return lasted
+	slices.Sort(delays)
+	return delays
 }
 
-// serves reports whether a request with the key would be let in.
+// serves reports whether a request with the key would be admitted.
 func (process *process) serves(digest team.KeyDigest) bool {
 	table := process.controller.Table()
 	if table == nil || table.Teams == nil {
@@ -88,14 +89,14 @@
 	return known
 }
 
-// hardestCut leaves the fewest instances that the store reaches. Above revokedInstances only that is played: the race detector makes a large
-// fleet slow.
+// hardestCut leaves the fewest instances that the store reaches. With more than maxInstancesAllCuts instances only that cut is
+// tested: the race detector makes a large fleet slow.
 const (
-	hardestCut       = "nine in ten are cut off from the store"
-	revokedInstances = 117
+	hardestCut          = "nine in ten are cut off from the store"
+	maxInstancesAllCuts = 117
 )
 
-// Guards against a revoked key that goes on to work at instances that have a path to one which knows.
+// Guards against a revoked key that continues to work at instances with a path to an instance that knows of the revocation.
 func TestRevocationReachesAll(t *testing.T) {
 	cases := []struct {
 		name string
@@ -107,13 +108,13 @@
 	}
 	for _, instances := range []int{17, 117, 312} {
 		for _, testCase := range cases {
-			if instances > revokedInstances && testCase.name != hardestCut {
+			if instances > maxInstancesAllCuts && testCase.name != hardestCut {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d instances, %s", instances, testCase.name), func(t *testing.T) {
-				lasted := revocations(t, instances, testCase.cut)
-				t.Logf("half after %s, 99 in 100 after %s, all after %s", lasted[len(lasted)/2], lasted[len(lasted)*99/100], lasted[len(lasted)-1])
-				require.LessOrEqual(t, float64(lasted[len(lasted)-1]), float64(revokedWithin))
+				delays := revocations(t, instances, testCase.cut)
+				t.Logf("half after %s, 99 in 100 after %s, all after %s", delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1])
+				require.LessOrEqual(t, float64(delays[len(delays)-1]), float64(revokedWithin))
 			})
 		}
 	}
