--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -55,7 +55,7 @@
 	attempt := attempt{place: place, exchange: exchange, err: err, reached: !neverConnected(err)}
 	attempt.story = trace.Attempt{
 		Target: target.Name, DataCentre: target.DataCentre, Considered: place.Listed, Taken: place.Taken, Waited: place.Waited,
-		Slowdown: place.Reading.Slowdown, ReadingAge: max(place.ReadingAge(before), 0),
+		Slowdown: place.Reading.Slowdown, ReadingAge: max(place.LoadReadingAge(before), 0),
 	}
 	if err == nil {
 		call.judgeAnswer(&attempt)
--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -35,7 +35,7 @@
 	// Check finds what shows that an answer does not belong to the request, or is not the backend server's own.
 	Check func(trace.RequestID, *http.Response) error
 	// Load reads what a backend server tells of its load along with an answer.
-	Load func(http.Header) (service.Reading, bool)
+	Load func(http.Header) (service.LoadReading, bool)
 	// BufferMost is the length in bytes up to which an answer is read whole before any of it is passed on, so that one
 	// that breaks off can be fetched again instead. 0 passes every answer on as it arrives.
 	BufferMost int64
@@ -59,7 +59,7 @@
 			return response.Header.Get(serviceSettings.NotRunHeader) != ""
 		},
 		Check:    func(trace.RequestID, *http.Response) error { return nil },
-		Load:     func(http.Header) (service.Reading, bool) { return service.Reading{}, false },
+		Load:     func(http.Header) (service.LoadReading, bool) { return service.LoadReading{}, false },
 		Reserved: func(path string) bool { return path == AddressesPath },
 	}
 }
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -87,7 +87,7 @@
 	retryAfter := call.route.Service.Settings.Queue.RetryAfter
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
-		retryAfter = refused.ComeBack
+		retryAfter = refused.RetryAfter
 	}
 	problem := &ending{status: http.StatusServiceUnavailable, outcome: call.outcomeSoFar(), retryAfter: retryAfter, cause: err}
 	switch {
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -104,8 +104,8 @@
 // awaitFirst waits for the first copy. It returns a place for the second one when the first is slow, or else what came of
 // the first.
 func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
-	work := call.route.Service.Scheduler.Expected(call.route.Class.Name)
-	last := call.aim.Add(-service.CallerDistance - hedgeMargin*work)
+	work := call.route.Service.Scheduler.ExpectedDuration(call.route.Class.Name)
+	last := call.aim.Add(-service.CallerNetworkDelay - hedgeMargin*work)
 	overdue := call.now().Add(hedgeOverdue * work)
 	timer := time.NewTimer(max(min(last.Since(call.now()), hedgeOverdue*work), 0).Duration())
 	defer timer.Stop()
@@ -128,7 +128,7 @@
 }
 
 func (call *call) takeSecond(demand service.Demand) (service.Place, bool) {
-	second, taken := call.route.Service.Scheduler.TryTake(demand)
+	second, taken := call.route.Service.Scheduler.TryAcquire(demand)
 	if !taken {
 		return service.Place{}, false
 	}
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -105,14 +105,14 @@
 // offer tells the schedulers which targets there are.
 func (world *world) offer() {
 	for _, instance := range world.instances {
-		offers := make([]service.Offer, 0, len(world.targets))
+		offers := make([]service.TargetConfig, 0, len(world.targets))
 		for _, target := range world.targets {
 			own := target.owner == instance.number
-			offers = append(offers, service.Offer{
+			offers = append(offers, service.TargetConfig{
 				Name: target.name, Slots: target.service.Slots, Local: own, Owned: own, Usable: !target.out, ColdRate: coldRate,
 			})
 		}
-		instance.scheduler.SetOffers(offers)
+		instance.scheduler.SetTargets(offers)
 		instance.settle()
 	}
 }
@@ -170,7 +170,7 @@
 	world.engine.after(pause, func() { world.probe(target) })
 }
 
-func (instance *instance) observe(name settings.TargetName, reading service.Reading) {
+func (instance *instance) observe(name settings.TargetName, reading service.LoadReading) {
 	instance.scheduler.Observe(name, reading)
 	instance.settle()
 }
@@ -291,7 +291,7 @@
 	visit.returns++
 	left := visit.until.Since(visit.world.engine.now())
 	// Callers stay away for a third of the time that they have left, at the most.
-	visit.world.engine.after(back+min(refused.ComeBack, left/3)+reach, visit.ask)
+	visit.world.engine.after(back+min(refused.RetryAfter, left/3)+reach, visit.ask)
 }
 
 // serve sends the request to its target, and learns from the answer.
--- a/internal/emulate/target.go
+++ b/internal/emulate/target.go
@@ -57,9 +57,9 @@
 }
 
 // reading is what it would tell of itself.
-func (target *target) reading() service.Reading {
+func (target *target) reading() service.LoadReading {
 	now := target.engine.now()
-	return service.Reading{
+	return service.LoadReading{
 		At: now, Running: len(target.running), Waiting: len(target.waiting), Slots: target.service.Slots, Slowdown: target.slowdown(now),
 		ColdKnown: true,
 	}
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -84,9 +84,9 @@
 }
 
 // reading translates back; the time on the way is not known and taken as none.
-func (shared *SharedReading) reading(now clock.Moment) service.Reading {
+func (shared *SharedReading) reading(now clock.Moment) service.LoadReading {
 	steady, period := shared.steady()
-	return service.Reading{
+	return service.LoadReading{
 		At:      now.Add(-clock.Milliseconds(shared.AgeMs)),
 		Running: int(shared.Running), Waiting: int(shared.Waiting), Slots: int(shared.Slots),
 		Slowdown:  float64(shared.SlowdownPercent) / slowdownUnit,
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -12,14 +12,14 @@
 
 // Readings arrive as they were taken, but for the time on the way.
 func TestReadingsRoundTrip(t *testing.T) {
-	own := ownReading{reading: service.Reading{At: 990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700}}
+	own := ownReading{reading: service.LoadReading{At: 990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700}}
 	shared := share(keyOf("one"), own, 40, 150, 1000)
 	text, err := Encode(&Message{Readings: []SharedReading{shared}})
 	require.NoError(t, err)
 	message, err := Decode(text)
 	require.NoError(t, err)
 	reading := message.Readings[0].reading(5000)
-	require.Equal(t, service.Reading{
+	require.Equal(t, service.LoadReading{
 		At: 4990, Running: 3, Waiting: 1, Slots: 6, Slowdown: 5, ColdKnown: true, ColdFor: 700, SteadyFor: 50, Period: 150,
 	}, reading)
 }
--- a/internal/fleet/share.go
+++ b/internal/fleet/share.go
@@ -8,7 +8,7 @@
 
 // ownReading is what a probe has just told.
 type ownReading struct {
-	reading service.Reading
+	reading service.LoadReading
 	down    bool
 }
 
@@ -26,7 +26,7 @@
 	for name, own := range latest {
 		var steady, period clock.Milliseconds
 		if ref, known := controller.targets[keyOf(name)]; known {
-			steady, period = controller.services[ref.service].scheduler.Steady(name)
+			steady, period = controller.services[ref.service].scheduler.SlowdownCycle(name)
 		}
 		if period > 0 && steady < worthTelling && !own.down {
 			continue
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -70,7 +70,7 @@
 	controller.table.Store(nil)
 	controller.viewAt = 0
 	for _, state := range controller.services {
-		state.scheduler.Forget()
+		state.scheduler.DiscardReadings()
 	}
 	controller.feed.Refresh()
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -149,7 +149,7 @@
 // setTargets hands the backend servers to the schedulers, the connections and the prober.
 func (controller *Controller) setTargets() {
 	view := controller.view
-	offers := map[settings.ServiceName][]service.Offer{}
+	offers := map[settings.ServiceName][]service.TargetConfig{}
 	seen := map[settings.TargetName]bool{}
 	clear(controller.targets)
 	var jobs []sensing.Job
@@ -175,13 +175,13 @@
 		}
 	}
 	for name, state := range controller.services {
-		state.scheduler.SetOffers(offers[name])
+		state.scheduler.SetTargets(offers[name])
 	}
 	controller.options.SetJobs(jobs)
 }
 
-func (controller *Controller) offer(server *catalog.Server, state *serviceState) service.Offer {
-	return service.Offer{
+func (controller *Controller) offer(server *catalog.Server, state *serviceState) service.TargetConfig {
+	return service.TargetConfig{
 		Name: server.Name, Address: server.Address, DataCentre: server.DataCentre, Slots: server.Slots,
 		Local:    server.DataCentre == controller.options.Self.DataCentre,
 		Owned:    controller.owners[server.Name] == controller.options.Self.Name,
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -50,7 +50,7 @@
 // Take waits for a place on one of the service's targets.
 func (entry *Service) Take(ctx context.Context, demand service.Demand) (service.Place, error) {
 	if entry.Scheduler != nil {
-		return entry.Scheduler.Take(ctx, demand)
+		return entry.Scheduler.Acquire(ctx, demand)
 	}
 	return entry.Dispatcher.Take(ctx, demand)
 }
--- a/internal/sensing/sensing.go
+++ b/internal/sensing/sensing.go
@@ -56,7 +56,7 @@
 	Healthy bool
 	// NotRun says that the target refused the probe for want of room.
 	NotRun  bool
-	Reading service.Reading
+	Reading service.LoadReading
 }
 
 // Job is a target to probe.
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -14,13 +14,13 @@
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	offer := Offer{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
-	scheduler.SetOffers([]Offer{offer})
-	scheduler.Observe("one", Reading{At: manual.Now(), Slots: 2, Slowdown: 1, ColdKnown: true})
+	offer := TargetConfig{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
+	scheduler.SetTargets([]TargetConfig{offer})
+	scheduler.Observe("one", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, ColdKnown: true})
 	place, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	offer.Address = "10.0.0.2:80"
-	scheduler.SetOffers([]Offer{offer})
+	scheduler.SetTargets([]TargetConfig{offer})
 	require.Equal(t, 1, fill(t, scheduler), "one of two places is taken")
 	place.Release(Succeeded)
 	targets, waiting := scheduler.State()
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -45,7 +45,7 @@
 // newWaiter ranks a request.
 func (scheduler *Scheduler) newWaiter(now clock.Moment, demand Demand) rankedWaiter {
 	expected := scheduler.expect(demand.Class)
-	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerDistance - expected.work)}
+	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerNetworkDelay - expected.work)}
 	waiter.until = now.Add(lateWaitMost * demand.Deadline.Since(now))
 	waiter.rank = rankOf(demand, now > waiter.latest)
 	return waiter
@@ -58,7 +58,7 @@
 		waiter.rank = rankOf(waiter.demand, true)
 	}
 	if waiter.late() && scheduler.expectedWait(now, waiter.rank) > waiter.until.Since(now)*admittedShare {
-		return &RefusedError{Cause: ErrQueueFull, ComeBack: scheduler.comeBack(now)}
+		return &RefusedError{Cause: ErrQueueFull, RetryAfter: scheduler.comeBack(now)}
 	}
 	scheduler.waiting.push(waiter)
 	return nil
--- a/internal/service/cadence.go
+++ b/internal/service/cadence.go
@@ -66,14 +66,14 @@
 	period   clock.Milliseconds
 	boundary clock.Moment
 	changes  []change
-	last     Reading
+	last     LoadReading
 	against  float64
 	// settled counts the changes that were seen sharply since the phase is known, looks the probes asked for.
 	settled, looks int
 }
 
 // observe learns from a reading.
-func (cadence *cadence) observe(reading Reading) {
+func (cadence *cadence) observe(reading LoadReading) {
 	before := cadence.last
 	if reading.Slowdown <= 0 || before.At > reading.At {
 		return
@@ -119,7 +119,7 @@
 }
 
 // check compares two readings with the cadence: within one spell they must agree.
-func (cadence *cadence) check(before, now Reading, differs bool) {
+func (cadence *cadence) check(before, now LoadReading, differs bool) {
 	if cadence.period == 0 || cadence.spell(before.At) != cadence.spell(now.At) {
 		return
 	}
--- a/internal/service/cadence_test.go
+++ b/internal/service/cadence_test.go
@@ -64,7 +64,7 @@
 			}
 			next = next.Add(step)
 		}
-		target.observe(Reading{At: at, Slowdown: slowdown})
+		target.observe(LoadReading{At: at, Slowdown: slowdown})
 	}
 }
 
@@ -79,7 +79,7 @@
 
 // With a cadence, a request goes where the calm lasts; without one, a reading loses its worth over a spell.
 func TestPrediction(t *testing.T) {
-	known := &candidate{read: true, reading: Reading{At: 1000, Slowdown: 1}}
+	known := &candidate{read: true, reading: LoadReading{At: 1000, Slowdown: 1}}
 	require.InDelta(t, 100, float64(known.timeFor(1000, 100, 3, 3)), 0.1)
 	require.InDelta(t, 200, float64(known.timeFor(1075, 100, 3, 3)), 0.1)
 	require.InDelta(t, 300, float64(known.timeFor(1400, 100, 3, 3)), 0.1)
@@ -95,15 +95,15 @@
 func TestColdTargetGetsWhatItBears(t *testing.T) {
 	manual := clock.NewManual()
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	scheduler.SetOffers([]Offer{
+	scheduler.SetTargets([]TargetConfig{
 		{Name: "own", Slots: 6, Owned: true, Usable: true, ColdRate: 10, ColdFor: 3 * clock.Second},
 		{Name: "other", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 3 * clock.Second},
 	})
 	taken := 0
 	for range 100 {
 		manual.Advance(20 * clock.Millisecond)
-		scheduler.Observe("own", Reading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
-		if place, found := scheduler.TryTake(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
+		scheduler.Observe("own", LoadReading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
+		if place, found := scheduler.TryAcquire(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
 			require.EqualValues(t, "own", place.Target.Name)
 			taken++
 			place.Release(Cancelled)
@@ -117,13 +117,13 @@
 func TestNewOwnerLeavesColdTargetAlone(t *testing.T) {
 	manual := clock.NewManual()
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	offer := Offer{Name: "one", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 9 * clock.Second}
-	scheduler.SetOffers([]Offer{offer})
+	offer := TargetConfig{Name: "one", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 9 * clock.Second}
+	scheduler.SetTargets([]TargetConfig{offer})
 	manual.Advance(clock.Second)
 	offer.Owned = true
-	scheduler.SetOffers([]Offer{offer})
+	scheduler.SetTargets([]TargetConfig{offer})
 	manual.Advance(takeoverWait / 2)
-	_, found := scheduler.TryTake(Demand{Class: "look"})
+	_, found := scheduler.TryAcquire(Demand{Class: "look"})
 	require.False(t, found)
 }
 
@@ -133,14 +133,14 @@
 	manual := clock.NewManual()
 	manual.Advance(clock.Second)
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	scheduler.SetOffers([]Offer{
+	scheduler.SetTargets([]TargetConfig{
 		{Name: "cold", Slots: 2, Local: true, Owned: true, Usable: true, ColdRate: 10, ColdFor: 3 * clock.Second},
 		{Name: "slow", Slots: 2, Local: true, Owned: true, Usable: true, ColdRate: 10},
 	})
 	manual.Advance(clock.Second)
-	scheduler.Observe("cold", Reading{At: manual.Now(), Slots: 2, Slowdown: 2, SteadyFor: 299, Period: 300, ColdKnown: true, ColdFor: 2 * clock.Second})
-	scheduler.Observe("slow", Reading{At: manual.Now(), Slots: 2, Slowdown: 5, SteadyFor: 290, Period: 300, ColdKnown: true})
-	place, err := scheduler.Take(t.Context(), Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	scheduler.Observe("cold", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 2, SteadyFor: 299, Period: 300, ColdKnown: true, ColdFor: 2 * clock.Second})
+	scheduler.Observe("slow", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 5, SteadyFor: 290, Period: 300, ColdKnown: true})
+	place, err := scheduler.Acquire(t.Context(), Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	require.EqualValues(t, "cold", place.Target.Name)
 }
@@ -162,13 +162,13 @@
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			var offers []Offer
+			var offers []TargetConfig
 			for _, name := range []settings.TargetName{"a", "b", "c", "d"} {
-				offers = append(offers, Offer{Name: name, Slots: 2, Owned: true, Usable: true})
+				offers = append(offers, TargetConfig{Name: name, Slots: 2, Owned: true, Usable: true})
 			}
-			scheduler.SetOffers(offers)
+			scheduler.SetTargets(offers)
 			for _, offer := range offers {
-				scheduler.Observe(offer.Name, Reading{At: manual.Now(), Slots: 2, Slowdown: 1, SteadyFor: 100, Period: 150, ColdKnown: true})
+				scheduler.Observe(offer.Name, LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, SteadyFor: 100, Period: 150, ColdKnown: true})
 			}
 			scheduler.candidates["a"].cadence.settled = settledFrom
 			for range testCase.taken {
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -7,8 +7,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Offer is what the control goroutine says of a target that a Scheduler may use.
-type Offer struct {
+// TargetConfig is what the control goroutine says of a target that a Scheduler may use.
+type TargetConfig struct {
 	Name       settings.TargetName
 	Address    string
 	DataCentre settings.DataCentreName
@@ -80,7 +80,7 @@
 	concurrency *concurrency
 	slotClass   *slotClass
 	// reading is the newest one, read tells whether there is any.
-	reading Reading
+	reading LoadReading
 	read    bool
 	// tells says that it has told its load at least once.
 	tells bool
@@ -100,7 +100,7 @@
 
 	// cadence is when its slowness may change.
 	cadence cadence
-	offer   Offer
+	offer   TargetConfig
 	// spells is how slow it was of late.
 	spells spells
 	// learningFrom is since when it is probed densely to learn that.
@@ -108,11 +108,11 @@
 }
 
 // observe takes a reading unless a newer one is known.
-func (candidate *candidate) observe(reading Reading) {
+func (candidate *candidate) observe(reading LoadReading) {
 	if candidate.read && reading.At < candidate.reading.At {
 		return
 	}
-	candidate.tells = candidate.tells || reading.Tells()
+	candidate.tells = candidate.tells || reading.ReportsLoad()
 	if reading.ColdKnown {
 		candidate.coldUntil = reading.At.Add(reading.ColdFor)
 	}
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -8,10 +8,10 @@
 const (
 	// slowFrom is the slowdown from which a target counts as slow.
 	slowFrom = 2.0
-	// CallerDistance is the part of a caller's time that passes on the way between caller and instance, which is not
+	// CallerNetworkDelay is the part of a caller's time that passes on the way between caller and instance, which is not
 	// seen here: three ways until the request is here on a new connection, and one for the answer. Callers are up to 8 ms
 	// away; for nearer ones a request counts as late a little too soon, which costs it its rank and nothing else.
-	CallerDistance = 34 * clock.Millisecond
+	CallerNetworkDelay = 34 * clock.Millisecond
 	// farCost is what a target in another data centre costs against one in the own: what is in flight there is known only
 	// from readings, so that instances which all see the same fast target fill it; and the links between data centres
 	// are shared.
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -29,19 +29,19 @@
 			demand := func() Demand {
 				return Demand{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
 			}
-			home := Offer{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
-			scheduler.SetOffers([]Offer{home})
+			home := TargetConfig{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
+			scheduler.SetTargets([]TargetConfig{home})
 			for range 200 {
-				scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
+				scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
 				place, _, err := scheduler.Enter(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
 				place.Size = testCase.size
 				place.Release(Succeeded)
 			}
-			scheduler.SetOffers([]Offer{home, {Name: "far", Slots: 8, Usable: true}})
-			scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
-			scheduler.Observe("far", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
+			scheduler.SetTargets([]TargetConfig{home, {Name: "far", Slots: 8, Usable: true}})
+			scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
+			scheduler.Observe("far", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
 			place, _, err := scheduler.Enter(demand())
 			require.NoError(t, err)
 			require.Equal(t, testCase.expect, place.Target.Name)
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -64,13 +64,13 @@
 func TestHindsight(t *testing.T) {
 	const start = clock.Moment(30000)
 	share := 1.0
-	known := &candidate{Target: &Target{Name: "one"}, offer: Offer{Slots: 4}, coldShare: &share, concurrency: &concurrency{}}
+	known := &candidate{Target: &Target{Name: "one"}, offer: TargetConfig{Slots: 4}, coldShare: &share, concurrency: &concurrency{}}
 	for number, slowdown := range []float64{1, 5, 1, 1, 0, 1} {
 		if slowdown == 0 {
 			continue
 		}
 		begun := start.Add(clock.Milliseconds(number) * 150)
-		known.observe(Reading{At: begun.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
+		known.observe(LoadReading{At: begun.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
 	}
 	cases := []struct {
 		name     string
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -90,7 +90,7 @@
 	// Size is the length of the request and its answer in bytes, set before Release.
 	Size int
 	// Reading is what was known of the target when it was chosen.
-	Reading Reading
+	Reading LoadReading
 
 	// scheduler and candidate stand in place of dispatcher on a place that a Scheduler gave.
 	scheduler *Scheduler
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -17,7 +17,7 @@
 }
 
 // Observe takes a reading of a target.
-func (scheduler *Scheduler) Observe(name settings.TargetName, reading Reading) {
+func (scheduler *Scheduler) Observe(name settings.TargetName, reading LoadReading) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	known, found := scheduler.candidates[name]
@@ -60,9 +60,9 @@
 	}
 }
 
-// Steady returns how long from now the target's slowdown stays as it is and the time between changes, 0 when that is not
+// SlowdownCycle returns how long from now the target's slowdown stays as it is and the time between changes, 0 when that is not
 // known.
-func (scheduler *Scheduler) Steady(name settings.TargetName) (clock.Milliseconds, clock.Milliseconds) {
+func (scheduler *Scheduler) SlowdownCycle(name settings.TargetName) (clock.Milliseconds, clock.Milliseconds) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	known, found := scheduler.candidates[name]
@@ -101,8 +101,8 @@
 	return unknown
 }
 
-// Expected is how long a request of the class takes on a fast target.
-func (scheduler *Scheduler) Expected(class settings.ClassName) clock.Milliseconds {
+// ExpectedDuration is how long a request of the class takes on a fast target.
+func (scheduler *Scheduler) ExpectedDuration(class settings.ClassName) clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.expect(class).work
@@ -179,7 +179,7 @@
 const mostOutlying = 2.5
 
 // Observe takes a reading that came with the answer to the place's request.
-func (place Place) Observe(reading Reading) {
+func (place Place) Observe(reading LoadReading) {
 	if place.scheduler != nil {
 		place.scheduler.Observe(place.Target.Name, reading)
 	}
--- a/internal/service/patience_test.go
+++ b/internal/service/patience_test.go
@@ -68,14 +68,14 @@
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			scheduler.SetOffers([]Offer{{Name: "one", Slots: 4, Owned: true, Usable: true, ColdRate: 10}})
+			scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: 4, Owned: true, Usable: true, ColdRate: 10}})
 			for range 100 {
 				told := forecast{kept: 500, followed: 150}
 				scheduler.pace.learn(told, 100, told.followed+clock.Milliseconds(testCase.keeping)*(told.kept-told.followed), true)
 			}
 			manual.Advance(clock.Second)
-			reading := func(slowdown float64, steady clock.Milliseconds) Reading {
-				return Reading{At: manual.Now(), Slots: 4, Slowdown: slowdown, SteadyFor: steady, Period: 150, ColdKnown: true}
+			reading := func(slowdown float64, steady clock.Milliseconds) LoadReading {
+				return LoadReading{At: manual.Now(), Slots: 4, Slowdown: slowdown, SteadyFor: steady, Period: 150, ColdKnown: true}
 			}
 			scheduler.Observe("one", reading(testCase.slowdown, 60))
 			now := manual.Now()
@@ -102,8 +102,8 @@
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
 	share := 1.0
-	known := &candidate{Target: &Target{Name: "one"}, offer: Offer{Slots: 4, Owned: true, Usable: true}, coldShare: &share}
-	known.observe(Reading{At: manual.Now(), Slowdown: 1, SteadyFor: 20, Period: 150, ColdKnown: true})
+	known := &candidate{Target: &Target{Name: "one"}, offer: TargetConfig{Slots: 4, Owned: true, Usable: true}, coldShare: &share}
+	known.observe(LoadReading{At: manual.Now(), Slowdown: 1, SteadyFor: 20, Period: 150, ColdKnown: true})
 	require.False(t, known.slow(manual.Now()))
 	require.True(t, known.slow(manual.Now().Add(25)))
 	require.InDelta(t, float64(readingDue-5), float64(known.fastIn(manual.Now().Add(25))), 0.01)
--- a/internal/service/placing.go
+++ b/internal/service/placing.go
@@ -2,8 +2,8 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// TryTake takes a place for a second copy of a request, if one is free on another target that is fast.
-func (scheduler *Scheduler) TryTake(demand Demand) (Place, bool) {
+// TryAcquire takes a place for a second copy of a request, if one is free on another target that is fast.
+func (scheduler *Scheduler) TryAcquire(demand Demand) (Place, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
--- a/internal/service/reading.go
+++ b/internal/service/reading.go
@@ -2,9 +2,9 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// Reading is what a target told of itself at one moment: in the header of an answer, in answer to a probe, or through
+// LoadReading is what a target told of itself at one moment: in the header of an answer, in answer to a probe, or through
 // the instance that probes it.
-type Reading struct {
+type LoadReading struct {
 	// At is when it was taken, on this process's clock.
 	At clock.Moment
 	// Running and Waiting are the requests that the target ran and queued then, Slots those it can run at once.
@@ -19,8 +19,8 @@
 	ColdFor   clock.Milliseconds
 }
 
-// Tells reports whether the target told its load. Many only tell that they are there.
-func (reading *Reading) Tells() bool {
+// ReportsLoad reports whether the target told its load. Many only tell that they are there.
+func (reading *LoadReading) ReportsLoad() bool {
 	return reading.Slots > 0 || reading.Running > 0 || reading.Slowdown > 0
 }
 
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -12,8 +12,8 @@
 // RefusedError says that a request was refused without having been sent anywhere, and when room is expected.
 type RefusedError struct {
 	Cause error
-	// ComeBack is how long from now room is expected.
-	ComeBack clock.Milliseconds
+	// RetryAfter is how long from now room is expected.
+	RetryAfter clock.Milliseconds
 }
 
 // Error implements error.
@@ -89,9 +89,9 @@
 	}
 }
 
-// SetOffers replaces what the control goroutine says of targets. Targets that are no longer offered are forgotten, but
+// SetTargets replaces what the control goroutine says of targets. Targets that are no longer offered are forgotten, but
 // for the count of what is in flight on them.
-func (scheduler *Scheduler) SetOffers(offers []Offer) {
+func (scheduler *Scheduler) SetTargets(offers []TargetConfig) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	now := scheduler.clock.Now()
@@ -127,7 +127,7 @@
 	scheduler.serveWaiting(now)
 }
 
-func (scheduler *Scheduler) setOffer(now clock.Moment, offer Offer) {
+func (scheduler *Scheduler) setOffer(now clock.Moment, offer TargetConfig) {
 	known, found := scheduler.candidates[offer.Name]
 	if !found {
 		known = &candidate{
@@ -204,8 +204,8 @@
 	scheduler.fileAll(now)
 }
 
-// Forget drops all readings: after this process stood still, nothing that it knew is worth anything.
-func (scheduler *Scheduler) Forget() {
+// DiscardReadings drops all readings: after this process stood still, nothing that it knew is worth anything.
+func (scheduler *Scheduler) DiscardReadings() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	for _, known := range scheduler.ordered {
@@ -221,8 +221,8 @@
 	return scheduler.lastTake > 0 && scheduler.clock.Now().Since(scheduler.lastTake) < within
 }
 
-// Take waits for a place. The error is a *RefusedError, or the context's.
-func (scheduler *Scheduler) Take(ctx context.Context, demand Demand) (Place, error) {
+// Acquire waits for a place. The error is a *RefusedError, or the context's.
+func (scheduler *Scheduler) Acquire(ctx context.Context, demand Demand) (Place, error) {
 	place, ticket, err := scheduler.Enter(demand)
 	if ticket == nil {
 		return place, err
@@ -260,7 +260,7 @@
 func (scheduler *Scheduler) refuseAll(reason error) {
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, ComeBack: comeBackNoTarget}}
+		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, RetryAfter: comeBackNoTarget}}
 		return true
 	})
 }
@@ -280,8 +280,8 @@
 	return states, scheduler.waiting.length
 }
 
-// ReadingAge is how old the reading was on which the choice rested, 0 when there was none.
-func (place Place) ReadingAge(now clock.Moment) clock.Milliseconds {
+// LoadReadingAge is how old the reading was on which the choice rested, 0 when there was none.
+func (place Place) LoadReadingAge(now clock.Moment) clock.Milliseconds {
 	if place.Reading.At == 0 {
 		return 0
 	}
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -37,13 +37,13 @@
 	fleet := &benchFleet{random: rand.New(rand.NewPCG(3, 3))}
 	fleet.now.Store(60_000_000_000)
 	fleet.scheduler = NewScheduler(SchedulerOptions{Clock: &clock.Clock{Now: fleet.moment}, Rand: rand.New(rand.NewPCG(1, 1))})
-	offers := make([]Offer, 0, targets)
+	offers := make([]TargetConfig, 0, targets)
 	for number := range targets {
 		name := settings.TargetName(fmt.Sprintf("target-%d", number))
 		fleet.names = append(fleet.names, name)
-		offers = append(offers, Offer{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
+		offers = append(offers, TargetConfig{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
 	}
-	fleet.scheduler.SetOffers(offers)
+	fleet.scheduler.SetTargets(offers)
 	for range fleet.names {
 		fleet.tell()
 	}
@@ -62,7 +62,7 @@
 	}
 	name := fleet.names[fleet.nextTold]
 	running := fleet.scheduler.candidates[name].own
-	fleet.scheduler.Observe(name, Reading{
+	fleet.scheduler.Observe(name, LoadReading{
 		At: fleet.moment(), Running: running, Slots: benchSlots, Slowdown: slowdown, SteadyFor: benchPeriod - 10, Period: benchPeriod, ColdKnown: true,
 	})
 	fleet.nextTold = (fleet.nextTold + 1) % len(fleet.names)
--- a/internal/service/silent_test.go
+++ b/internal/service/silent_test.go
@@ -17,14 +17,14 @@
 	cases := []struct {
 		name  string
 		slots int
-		told  Reading
+		told  LoadReading
 		// owned and foreign are the requests that an instance may have on a server of its own and on another's.
 		owned, foreign int
 	}{
-		{"four slots, silent", 4, Reading{}, 2, 1},
-		{"one slot, silent", 1, Reading{}, 1, 1},
-		{"eight slots, silent", 8, Reading{}, 5, 1},
-		{"four slots, telling", 4, Reading{Slots: 4, Slowdown: 1}, 3, 2},
+		{"four slots, silent", 4, LoadReading{}, 2, 1},
+		{"one slot, silent", 1, LoadReading{}, 1, 1},
+		{"eight slots, silent", 8, LoadReading{}, 5, 1},
+		{"four slots, telling", 4, LoadReading{Slots: 4, Slowdown: 1}, 3, 2},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				manual := clock.NewManual()
 				manual.Advance(clock.Minute)
 				scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-				scheduler.SetOffers([]Offer{{Name: "one", Slots: testCase.slots, Owned: owned, Usable: true}})
+				scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: testCase.slots, Owned: owned, Usable: true}})
 				told := testCase.told
 				told.At, told.ColdKnown = manual.Now(), true
 				scheduler.Observe("one", told)
@@ -64,18 +64,18 @@
 func TestSilentServersAreProbedRarely(t *testing.T) {
 	cases := []struct {
 		name  string
-		told  Reading
+		told  LoadReading
 		pause clock.Milliseconds
 	}{
-		{"silent", Reading{}, silentLook},
-		{"telling", Reading{Slots: 4, Slowdown: 1}, 30},
+		{"silent", LoadReading{}, silentLook},
+		{"telling", LoadReading{Slots: 4, Slowdown: 1}, 30},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			scheduler.SetOffers([]Offer{{Name: "one", Slots: 4, Owned: true, Usable: true}})
+			scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: 4, Owned: true, Usable: true}})
 			require.Equal(t, 30*clock.Millisecond, scheduler.NextProbe("one", 30, 45), "nothing is known yet")
 			testCase.told.At = manual.Now()
 			scheduler.Observe("one", testCase.told)
--- a/internal/service/spells.go
+++ b/internal/service/spells.go
@@ -20,7 +20,7 @@
 }
 
 // note takes a reading. Of several in one spell the one furthest from its ends counts: the others may belong to the next one.
-func (spells *spells) note(cadence *cadence, reading Reading) {
+func (spells *spells) note(cadence *cadence, reading LoadReading) {
 	since := cadence.since(reading.At)
 	from := reading.At.Add(-since)
 	inside := min(since, cadence.period-since)
--- a/internal/service/ticket.go
+++ b/internal/service/ticket.go
@@ -22,7 +22,7 @@
 	defer scheduler.mutex.Unlock()
 	scheduler.lastTake = now
 	if scheduler.usable == 0 {
-		return Place{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: comeBackNoTarget}
+		return Place{}, nil, &RefusedError{Cause: ErrNoTarget, RetryAfter: comeBackNoTarget}
 	}
 	waiter := scheduler.newWaiter(now, demand)
 	if scheduler.waiting.ahead(waiter.rank) == 0 {
@@ -65,7 +65,7 @@
 	if !stillWaiting {
 		return scheduler.granted(&ticket.waiter, <-ticket.waiter.done)
 	}
-	return Place{}, &RefusedError{Cause: ErrQueueWait, ComeBack: comeBack}
+	return Place{}, &RefusedError{Cause: ErrQueueWait, RetryAfter: comeBack}
 }
 
 // wait blocks until there is a place or a refusal.
--- a/internal/service/upheaval_test.go
+++ b/internal/service/upheaval_test.go
@@ -17,7 +17,7 @@
 	clock     *clock.Manual
 	random    *rand.Rand
 	scheduler *Scheduler
-	offers    []Offer
+	offers    []TargetConfig
 	phases    []clock.Milliseconds
 	steady    bool
 	places    []Place
@@ -35,7 +35,7 @@
 		upheaval.offers = append(upheaval.offers, upheaval.offer(number))
 		upheaval.phases = append(upheaval.phases, clock.Milliseconds(150*upheaval.random.Float64()))
 	}
-	upheaval.scheduler.SetOffers(upheaval.offers)
+	upheaval.scheduler.SetTargets(upheaval.offers)
 	return upheaval
 }
 
@@ -43,8 +43,8 @@
 	return upheaval.random.Float64() < part
 }
 
-func (upheaval *upheaval) offer(number int) Offer {
-	return Offer{
+func (upheaval *upheaval) offer(number int) TargetConfig {
+	return TargetConfig{
 		Name: settings.TargetName(fmt.Sprint(number)), Slots: 2 + 2*(number%3), Local: upheaval.chance(0.5), Owned: upheaval.chance(0.4),
 		Usable: upheaval.chance(0.95), ColdRate: 10, ColdFor: clock.Milliseconds(upheaval.random.IntN(3)) * clock.Second,
 		Started: int64(upheaval.random.IntN(2)),
@@ -54,7 +54,7 @@
 func (upheaval *upheaval) observe() {
 	number := upheaval.random.IntN(len(upheaval.offers))
 	now := upheaval.clock.Now()
-	reading := Reading{
+	reading := LoadReading{
 		At: now.Add(-clock.Milliseconds(3 * upheaval.random.Float64())), Running: upheaval.random.IntN(4), Slots: upheaval.offers[number].Slots,
 		Slowdown: []float64{1, 1, 1, 1.3, 5}[upheaval.random.IntN(5)], ColdKnown: upheaval.chance(0.9),
 	}
@@ -66,7 +66,7 @@
 		reading.Period, reading.SteadyFor = 150, cadence.until(reading.At)
 	}
 	if number%7 == 0 {
-		reading = Reading{At: now, ColdKnown: true}
+		reading = LoadReading{At: now, ColdKnown: true}
 	}
 	upheaval.scheduler.Observe(upheaval.offers[number].Name, reading)
 }
@@ -102,7 +102,7 @@
 	case kind < 920:
 		scheduler.Sweep()
 	case kind < 940:
-		if place, found := scheduler.TryTake(upheaval.demand()); found {
+		if place, found := scheduler.TryAcquire(upheaval.demand()); found {
 			upheaval.places = append(upheaval.places, place)
 		}
 	case kind < 955:
@@ -112,9 +112,9 @@
 	case kind < 990:
 		number := random.IntN(len(upheaval.offers))
 		upheaval.offers[number] = upheaval.offer(number)
-		scheduler.SetOffers(upheaval.offers[:len(upheaval.offers)-random.IntN(2)])
+		scheduler.SetTargets(upheaval.offers[:len(upheaval.offers)-random.IntN(2)])
 	case kind < 992:
-		scheduler.Forget()
+		scheduler.DiscardReadings()
 	case kind < 996:
 		scheduler.concurrency.learns = !scheduler.concurrency.learns
 	default:
