--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -270,7 +270,7 @@
 	}
 	demand := service.Demand{
 		Priority: visit.class.Priority, Class: visit.class.Name, Deadline: visit.until,
-		Aim: instance.scheduler.Aim(visit.class.Name, now, visit.class.Aim, left),
+		Aim: instance.scheduler.SoftDeadline(visit.class.Name, now, visit.class.Aim, left),
 	}
 	instance.take(demand, func(place service.Place, err error) {
 		if err != nil {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -66,7 +66,7 @@
 // Aim returns the moment until which an answer is worth most to a caller that has the given time left.
 func (entry *Service) Aim(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
 	if entry.Scheduler != nil {
-		return entry.Scheduler.Aim(class, now, aim, left)
+		return entry.Scheduler.SoftDeadline(class, now, aim, left)
 	}
 	return now.Add(aim)
 }
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -14,15 +14,15 @@
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	offer := TargetConfig{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
-	scheduler.SetTargets([]TargetConfig{offer})
+	config := TargetConfig{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
+	scheduler.SetTargets([]TargetConfig{config})
 	scheduler.Observe("one", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, ColdKnown: true})
-	place, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	permit, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
-	offer.Address = "10.0.0.2:80"
-	scheduler.SetTargets([]TargetConfig{offer})
+	config.Address = "10.0.0.2:80"
+	scheduler.SetTargets([]TargetConfig{config})
 	require.Equal(t, 1, fill(t, scheduler), "one of two places is taken")
-	place.Release(Succeeded)
+	permit.Release(Succeeded)
 	targets, waiting := scheduler.State()
 	require.Equal(t, 2, targets[0].Own, "the one that waited has the released place")
 	require.Zero(t, waiting)
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -44,8 +44,8 @@
 
 // newWaiter ranks a request.
 func (scheduler *Scheduler) newWaiter(now clock.Moment, demand Demand) rankedWaiter {
-	expected := scheduler.expect(demand.Class)
-	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerNetworkDelay - expected.work)}
+	expected := scheduler.classStatsOf(demand.Class)
+	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerNetworkDelay - expected.serviceTime)}
 	waiter.until = now.Add(lateWaitMost * demand.Deadline.Since(now))
 	waiter.rank = rankOf(demand, now > waiter.latest)
 	return waiter
@@ -84,11 +84,11 @@
 
 // taken is how much of the room on all targets is taken, and how much there is.
 func (scheduler *Scheduler) taken(now clock.Moment) (int, int) {
-	scheduler.refresh(now)
+	scheduler.reindexDue(now)
 	taken, room := 0, 0
-	for _, slotClass := range scheduler.concurrency.slotClasses {
-		each := slotClass.roomNow()
-		for count, targets := range slotClass.targets {
+	for _, slotClass := range scheduler.concurrencyModel.slotClasses {
+		each := slotClass.currentLimit()
+		for count, targets := range slotClass.targetCounts {
 			room += targets * each
 			taken += targets * min(count, each)
 		}
@@ -99,11 +99,11 @@
 // expectedWait is how long a request of the given rank would wait: those before it, at the pace at which places become
 // free for its rank. By Little's law that pace is the number of places taken by the time each is taken.
 func (scheduler *Scheduler) expectedWait(now clock.Moment, rank rank) clock.Milliseconds {
-	if scheduler.anyOpen(now) {
+	if scheduler.anyFastAvailable(now) {
 		return 0
 	}
 	ahead := clock.Milliseconds(scheduler.waiting.ahead(rank))
-	pace := float64(max(scheduler.own, 1)) * scheduler.started.left(rank)
+	pace := float64(max(scheduler.ownInFlight, 1)) * scheduler.startShares.left(rank)
 	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(pace) * waitBias
 }
 
--- a/internal/service/baseline.go
+++ b/internal/service/baseline.go
@@ -43,9 +43,9 @@
 func (dispatcher *Dispatcher) choose(demand Demand) *Target {
 	if dispatcher.policy == PolicyLeastTaken || dispatcher.policy == PolicyDoubleShare {
 		if demand.Tried == nil {
-			return dispatcher.index.least(dispatcher.random, nil)
+			return dispatcher.index.pickLowest(dispatcher.random, nil)
 		}
-		return dispatcher.index.least(dispatcher.random, &demand.Tried.listing)
+		return dispatcher.index.pickLowest(dispatcher.random, &demand.Tried.listing)
 	}
 	open := dispatcher.openTargets(demand.Tried)
 	if len(open) == 0 {
--- a/internal/service/cadence_test.go
+++ b/internal/service/cadence_test.go
@@ -26,23 +26,23 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(4, 2))
-			targets := make([]*cadence, 8)
-			phases := make([]clock.Milliseconds, len(targets))
-			for number := range targets {
-				targets[number] = &cadence{}
+			slowdownCycles := make([]*slowdownCycle, 8)
+			phases := make([]clock.Milliseconds, len(slowdownCycles))
+			for number := range slowdownCycles {
+				slowdownCycles[number] = &slowdownCycle{}
 				phases[number] = clock.Milliseconds(random.Float64()) * testCase.period
-				observeFor(targets[number], random, testCase.period, phases[number], testCase.steady, 9*clock.Second)
+				observeReadings(slowdownCycles[number], random, testCase.period, phases[number], testCase.steady, 9*clock.Second)
 			}
-			period := findPeriod(targets)
+			period := findPeriod(slowdownCycles)
 			if !testCase.steady {
 				require.Zero(t, period)
 				return
 			}
 			require.InDelta(t, float64(testCase.period), float64(period), 0.2)
-			for number, target := range targets {
-				target.learn(period)
-				require.Equal(t, period, target.period)
-				wrong := target.offset(clock.Moment(phases[number]))
+			for number, slowdownCycle := range slowdownCycles {
+				slowdownCycle.learnPhase(period)
+				require.Equal(t, period, slowdownCycle.period)
+				wrong := slowdownCycle.offset(clock.Moment(phases[number]))
 				require.Less(t, max(wrong, -wrong), 10*clock.Millisecond)
 			}
 		})
@@ -50,7 +50,7 @@
 }
 
 // observeFor lets a cadence see readings some 30 ms apart.
-func observeFor(target *cadence, random *rand.Rand, period, phase clock.Milliseconds, steady bool, length clock.Milliseconds) {
+func observeReadings(slowdownCycle *slowdownCycle, random *rand.Rand, period, phase clock.Milliseconds, steady bool, length clock.Milliseconds) {
 	slowdown, next := 1.0, clock.Moment(phase)
 	for at := clock.Moment(0); at < clock.Moment(length); at = at.Add(28 + clock.Milliseconds(4*random.Float64())) {
 		for next <= at {
@@ -64,7 +64,7 @@
 			}
 			next = next.Add(step)
 		}
-		target.observe(LoadReading{At: at, Slowdown: slowdown})
+		slowdownCycle.observe(LoadReading{At: at, Slowdown: slowdown})
 	}
 }
 
@@ -72,22 +72,22 @@
 // that ends at any time; it must be dropped.
 func TestWrongCadenceIsDropped(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	target := &cadence{period: 150}
-	observeFor(target, random, 150, 75, true, 20*clock.Second)
-	require.True(t, target.period == 0 || target.settled > 0, "neither dropped nor followed to the new phase")
+	slowdownCycle := &slowdownCycle{period: 150}
+	observeReadings(slowdownCycle, random, 150, 75, true, 20*clock.Second)
+	require.True(t, slowdownCycle.period == 0 || slowdownCycle.preciseChanges > 0, "neither dropped nor followed to the new phase")
 }
 
 // With a cadence, a request goes where the calm lasts; without one, a reading loses its worth over a spell.
 func TestPrediction(t *testing.T) {
-	known := &candidate{read: true, reading: LoadReading{At: 1000, Slowdown: 1}}
-	require.InDelta(t, 100, float64(known.timeFor(1000, 100, 3, 3)), 0.1)
-	require.InDelta(t, 200, float64(known.timeFor(1075, 100, 3, 3)), 0.1)
-	require.InDelta(t, 300, float64(known.timeFor(1400, 100, 3, 3)), 0.1)
-	known.cadence = cadence{period: 150, boundary: 1000}
-	require.InDelta(t, 100, float64(known.timeFor(1000, 100, 3, 3)), 0.1)
-	require.InDelta(t, 75+25*3, float64(known.timeFor(1075, 100, 3, 3)), 0.1)
-	known.reading.Slowdown = 5
-	require.InDelta(t, 10+98*3, float64(known.timeFor(1140, 100, 3, 3)), 0.1)
+	candidate := &candidate{hasReading: true, reading: LoadReading{At: 1000, Slowdown: 1}}
+	require.InDelta(t, 100, float64(candidate.varyingDuration(1000, 100, 3, 3)), 0.1)
+	require.InDelta(t, 200, float64(candidate.varyingDuration(1075, 100, 3, 3)), 0.1)
+	require.InDelta(t, 300, float64(candidate.varyingDuration(1400, 100, 3, 3)), 0.1)
+	candidate.slowdownCycle = slowdownCycle{period: 150, boundary: 1000}
+	require.InDelta(t, 100, float64(candidate.varyingDuration(1000, 100, 3, 3)), 0.1)
+	require.InDelta(t, 75+25*3, float64(candidate.varyingDuration(1075, 100, 3, 3)), 0.1)
+	candidate.reading.Slowdown = 5
+	require.InDelta(t, 10+98*3, float64(candidate.varyingDuration(1140, 100, 3, 3)), 0.1)
 }
 
 // A target is cold. Over any second it gets no more than it bears, however many requests wait for it; one that another
@@ -103,10 +103,10 @@
 	for range 100 {
 		manual.Advance(20 * clock.Millisecond)
 		scheduler.Observe("own", LoadReading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
-		if place, found := scheduler.TryAcquire(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
-			require.EqualValues(t, "own", place.Target.Name)
+		if permit, found := scheduler.TryAcquire(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
+			require.EqualValues(t, "own", permit.Target.Name)
 			taken++
-			place.Release(Cancelled)
+			permit.Release(Cancelled)
 		}
 	}
 	require.LessOrEqual(t, taken, int(2*10*coldMargin)+1)
@@ -117,11 +117,11 @@
 func TestNewOwnerLeavesColdTargetAlone(t *testing.T) {
 	manual := clock.NewManual()
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-	offer := TargetConfig{Name: "one", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 9 * clock.Second}
-	scheduler.SetTargets([]TargetConfig{offer})
+	config := TargetConfig{Name: "one", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 9 * clock.Second}
+	scheduler.SetTargets([]TargetConfig{config})
 	manual.Advance(clock.Second)
-	offer.Owned = true
-	scheduler.SetTargets([]TargetConfig{offer})
+	config.Owned = true
+	scheduler.SetTargets([]TargetConfig{config})
 	manual.Advance(takeoverWait / 2)
 	_, found := scheduler.TryAcquire(Demand{Class: "look"})
 	require.False(t, found)
@@ -140,9 +140,9 @@
 	manual.Advance(clock.Second)
 	scheduler.Observe("cold", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 2, SteadyFor: 299, Period: 300, ColdKnown: true, ColdFor: 2 * clock.Second})
 	scheduler.Observe("slow", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 5, SteadyFor: 290, Period: 300, ColdKnown: true})
-	place, err := scheduler.Acquire(t.Context(), Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	permit, err := scheduler.Acquire(t.Context(), Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
-	require.EqualValues(t, "cold", place.Target.Name)
+	require.EqualValues(t, "cold", permit.Target.Name)
 }
 
 // Half of the places of a service are taken by several instances. Each knows what the others have in flight only from readings, and when
@@ -154,23 +154,23 @@
 		taken   int
 		looksIn clock.Milliseconds
 	}{
-		{"plenty", 2, 100 + edgeMargin},
-		{"scarce", 4, busyLook},
+		{"plenty", 2, 100 + boundaryProbeMargin},
+		{"scarce", 4, busyProbeInterval},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			var offers []TargetConfig
+			var configs []TargetConfig
 			for _, name := range []settings.TargetName{"a", "b", "c", "d"} {
-				offers = append(offers, TargetConfig{Name: name, Slots: 2, Owned: true, Usable: true})
+				configs = append(configs, TargetConfig{Name: name, Slots: 2, Owned: true, Usable: true})
 			}
-			scheduler.SetTargets(offers)
-			for _, offer := range offers {
-				scheduler.Observe(offer.Name, LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, SteadyFor: 100, Period: 150, ColdKnown: true})
+			scheduler.SetTargets(configs)
+			for _, config := range configs {
+				scheduler.Observe(config.Name, LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, SteadyFor: 100, Period: 150, ColdKnown: true})
 			}
-			scheduler.candidates["a"].cadence.settled = settledFrom
+			scheduler.candidates["a"].slowdownCycle.preciseChanges = minPreciseChanges
 			for range testCase.taken {
 				_, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 				require.NoError(t, err)
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -32,26 +32,26 @@
 const (
 	// firstAvoidance is how long a target is avoided after a first failure; it doubles with each in a row, up to
 	// mostDoublings times: 100 ms to 3.2 s. A target that crashed is back within seconds, one that shed is free sooner.
-	firstAvoidance = 100 * clock.Millisecond
+	initialBackoff = 100 * clock.Millisecond
 	// failureWeight is the weight of one request in the moving average of failures: some ten requests tell a target
 	// that fails a part of them from one that failed once.
 	failureWeight = 0.1
 	// failureCosts is how many times the usual work a failure costs: the time until it is noticed and the attempt that
 	// follows.
-	failureCosts = 3.0
+	failureCost = 3.0
 )
 
 // Room on a target.
 const (
 	// sharedRoom is the room above which half of it is left to the target's owner. Instances that fill a target without
 	// knowing of each other slotClass it, and all that is on it slows down.
-	sharedRoom = 2
+	maxUnreservedLimit = 2
 	// silentShare is the room on a target that doesn't tell its load which is left to those that don't own it.
-	silentShare = 1
+	nonReportingReserve = 1
 	// othersFade is how long what others had in flight on a target is taken to last after a reading.
-	othersFade = clock.Second
+	othersDecayTime = clock.Second
 	// staleReading is the age after which a reading tells nothing any more: the target may have become cold or gone.
-	staleReading = 1500 * clock.Millisecond
+	maxReadingAge = 1500 * clock.Millisecond
 	// coldBurst is how many requests may go to a cold target at once.
 	coldBurst = 1.0
 	// coldMargin is the part of what a cold target bears that is used. While views of the fleet differ two instances may
@@ -65,25 +65,25 @@
 
 // candidate is one target of a Scheduler. Fields that each choice needs come first.
 type candidate struct {
-	filing filing
+	indexEntry indexEntry
 
 	// Target is who it is. Traffic reads it without the lock, so it is replaced and never changed.
 	*Target
 
 	// own counts the requests under way from here, flights holds them.
-	own     int
-	flights []*flight
+	ownInFlight    int
+	activeRequests []*activeRequest
 	// ownAtReading is what this instance itself had in flight there at the reading.
 	ownAtReading int
 	// coldShare and concurrency are the scheduler's, slotClass is what that knows of targets with as many slots.
-	coldShare   *float64
-	concurrency *concurrency
-	slotClass   *slotClass
+	coldShare        *float64
+	concurrencyModel *concurrencyModel
+	slotClass        *slotClass
 	// reading is the newest one, read tells whether there is any.
-	reading LoadReading
-	read    bool
+	reading    LoadReading
+	hasReading bool
 	// tells says that it has told its load at least once.
-	tells bool
+	reportsLoad bool
 	// down says that probes find nobody there.
 	down bool
 	// coldUntil is when it is warm.
@@ -94,110 +94,110 @@
 	tokens   float64
 	tokensAt clock.Moment
 	// avoidUntil, inARow and failRate follow from failures.
-	avoidUntil clock.Moment
-	inARow     int
-	failRate   float64
+	backoffUntil        clock.Moment
+	consecutiveFailures int
+	failureRate         float64
 
 	// cadence is when its slowness may change.
-	cadence cadence
-	offer   TargetConfig
+	slowdownCycle slowdownCycle
+	config        TargetConfig
 	// spells is how slow it was of late.
-	spells spells
+	slowdownHistory slowdownHistory
 	// learningFrom is since when it is probed densely to learn that.
-	learningFrom clock.Moment
+	learningSince clock.Moment
 }
 
 // observe takes a reading unless a newer one is known.
 func (candidate *candidate) observe(reading LoadReading) {
-	if candidate.read && reading.At < candidate.reading.At {
+	if candidate.hasReading && reading.At < candidate.reading.At {
 		return
 	}
-	candidate.tells = candidate.tells || reading.ReportsLoad()
+	candidate.reportsLoad = candidate.reportsLoad || reading.ReportsLoad()
 	if reading.ColdKnown {
 		candidate.coldUntil = reading.At.Add(reading.ColdFor)
 	}
 	if reading.Slots <= 0 {
-		reading.Slots = candidate.offer.Slots
+		reading.Slots = candidate.config.Slots
 	}
 	if reading.Period > 0 {
-		candidate.cadence.set(reading.At.Add(reading.SteadyFor), reading.Period)
+		candidate.slowdownCycle.set(reading.At.Add(reading.SteadyFor), reading.Period)
 	} else {
-		learnt := candidate.cadence.period > 0
-		candidate.cadence.observe(reading)
-		if learnt && candidate.cadence.period == 0 {
-			candidate.learningFrom = reading.At.Add(relearnFor - learnFor)
+		learnt := candidate.slowdownCycle.period > 0
+		candidate.slowdownCycle.observe(reading)
+		if learnt && candidate.slowdownCycle.period == 0 {
+			candidate.learningSince = reading.At.Add(relearnDuration - learnDuration)
 		}
 	}
 	if reading.Slowdown <= 0 {
 		reading.Slowdown = 1
 	}
-	if candidate.cadence.period > 0 {
-		candidate.spells.note(&candidate.cadence, reading)
+	if candidate.slowdownCycle.period > 0 {
+		candidate.slowdownHistory.record(&candidate.slowdownCycle, reading)
 	}
 	candidate.reading = reading
-	candidate.read = true
-	candidate.ownAtReading = candidate.own
-	candidate.notePeak(reading.Running + reading.Waiting)
+	candidate.hasReading = true
+	candidate.ownAtReading = candidate.ownInFlight
+	candidate.updatePeak(reading.Running + reading.Waiting)
 }
 
 // takeOff counts a request that starts there as the given one.
-func (candidate *candidate) takeOff(started *flight, count int) {
-	started.first, started.peak = count, count
-	candidate.own++
-	candidate.flights = append(candidate.flights, started)
-	candidate.notePeak(count)
+func (candidate *candidate) startRequest(activeRequest *activeRequest, count int) {
+	activeRequest.inFlightAtStart, activeRequest.peakInFlight = count, count
+	candidate.ownInFlight++
+	candidate.activeRequests = append(candidate.activeRequests, activeRequest)
+	candidate.updatePeak(count)
 }
 
 // land counts a request that has ended there, and reports whether it was known.
-func (candidate *candidate) land(ended *flight) bool {
-	candidate.own--
-	position := slices.Index(candidate.flights, ended)
+func (candidate *candidate) endRequest(activeRequest *activeRequest) bool {
+	candidate.ownInFlight--
+	position := slices.Index(candidate.activeRequests, activeRequest)
 	if position < 0 {
 		return false
 	}
-	candidate.flights = slices.Delete(candidate.flights, position, position+1)
+	candidate.activeRequests = slices.Delete(candidate.activeRequests, position, position+1)
 	return true
 }
 
 // notePeak tells the requests under way how many there are.
-func (candidate *candidate) notePeak(count int) {
-	for _, flight := range candidate.flights {
-		flight.peak = max(flight.peak, count)
+func (candidate *candidate) updatePeak(count int) {
+	for _, activeRequest := range candidate.activeRequests {
+		activeRequest.peakInFlight = max(activeRequest.peakInFlight, count)
 	}
 }
 
 // others estimates what others have in flight there: what the reading told, less what has ended since on average.
-func (candidate *candidate) others(now clock.Moment) int {
+func (candidate *candidate) othersInFlight(now clock.Moment) int {
 	age := now.Since(candidate.reading.At)
-	if !candidate.read || age > othersFade {
+	if !candidate.hasReading || age > othersDecayTime {
 		return 0
 	}
-	return int(float64(candidate.othersTold())*float64(1-age/othersFade) + 0.5)
+	return int(float64(candidate.othersAtReading())*float64(1-age/othersDecayTime) + 0.5)
 }
 
 // othersTold is what others had in flight there when it told.
-func (candidate *candidate) othersTold() int {
+func (candidate *candidate) othersAtReading() int {
 	return max(candidate.reading.Running+candidate.reading.Waiting-candidate.ownAtReading, 0)
 }
 
 // room is the number of requests that may be in flight there at once.
-func (candidate *candidate) room() int {
-	return candidate.slotClass.roomNow()
+func (candidate *candidate) concurrencyLimit() int {
+	return candidate.slotClass.currentLimit()
 }
 
 // cold reports whether the target bears only its cold rate, or may.
 func (candidate *candidate) cold(now clock.Moment) bool {
-	return now < candidate.coldUntil || candidate.offer.Owned && candidate.stale(now)
+	return now < candidate.coldUntil || candidate.config.Owned && candidate.stale(now)
 }
 
 // stale reports whether so long nothing was heard of the target that it may have turned cold meanwhile.
 func (candidate *candidate) stale(now clock.Moment) bool {
-	return !candidate.read || now.Since(candidate.reading.At) > staleReading
+	return !candidate.hasReading || now.Since(candidate.reading.At) > maxReadingAge
 }
 
 // mayStart reports whether one more request may be sent to a cold target now.
-func (candidate *candidate) mayStart(now clock.Moment) bool {
-	if !candidate.offer.Owned || now < candidate.ownedFrom {
+func (candidate *candidate) coldStartAllowed(now clock.Moment) bool {
+	if !candidate.config.Owned || now < candidate.ownedFrom {
 		return false
 	}
 	candidate.refill(now)
@@ -206,11 +206,11 @@
 
 // coldRate is the number of requests a second that this instance may send there while it is cold.
 func (candidate *candidate) coldRate() float64 {
-	return candidate.offer.ColdRate * coldMargin * *candidate.coldShare
+	return candidate.config.ColdRate * coldMargin * *candidate.coldShare
 }
 
 // startsAt is when a cold target may get one more request, never if it may already.
-func (candidate *candidate) startsAt(now clock.Moment) clock.Moment {
+func (candidate *candidate) nextColdStartAt(now clock.Moment) clock.Moment {
 	candidate.refill(now)
 	if candidate.tokens >= 1 {
 		return never
@@ -226,54 +226,54 @@
 
 // share is the part of the room that this instance may fill. What others have in flight on a target is known from what it tells; on one
 // that tells nothing each instance keeps to a part of its own, or together they would send it more than it can queue.
-func (candidate *candidate) share(room int) int {
+func (candidate *candidate) limitShare(limit int) int {
 	switch {
-	case !candidate.read || candidate.tells:
-		if !candidate.offer.Owned && room > sharedRoom {
-			return (room + 1) / 2
+	case !candidate.hasReading || candidate.reportsLoad:
+		if !candidate.config.Owned && limit > maxUnreservedLimit {
+			return (limit + 1) / 2
 		}
-		return room
-	case candidate.offer.Owned:
-		return max(room-silentShare, 1)
+		return limit
+	case candidate.config.Owned:
+		return max(limit-nonReportingReserve, 1)
 	default:
-		return min(room, silentShare)
+		return min(limit, nonReportingReserve)
 	}
 }
 
 // open reports whether a request may be sent there now.
-func (candidate *candidate) open(now clock.Moment, despiteFailures bool) bool {
-	return candidate.openWith(now, candidate.room(), despiteFailures)
+func (candidate *candidate) available(now clock.Moment, despiteFailures bool) bool {
+	return candidate.availableWithLimit(now, candidate.concurrencyLimit(), despiteFailures)
 }
 
 // openWith reports whether a request may be sent there now if the given number may be in flight at once.
-func (candidate *candidate) openWith(now clock.Moment, room int, despiteFailures bool) bool {
-	if !candidate.offer.Usable || candidate.down {
+func (candidate *candidate) availableWithLimit(now clock.Moment, limit int, despiteFailures bool) bool {
+	if !candidate.config.Usable || candidate.down {
 		return false
 	}
-	if !despiteFailures && candidate.inARow >= failuresUntilTrickle || candidate.stale(now) {
+	if !despiteFailures && candidate.consecutiveFailures >= failuresUntilTrickle || candidate.stale(now) {
 		// Nothing is known of it, or nothing good; one request at a time does no harm and tells more.
-		room = 1
+		limit = 1
 	}
-	if candidate.own+candidate.others(now) >= candidate.share(room) {
+	if candidate.ownInFlight+candidate.othersInFlight(now) >= candidate.limitShare(limit) {
 		return false
 	}
-	if !despiteFailures && now < candidate.avoidUntil {
+	if !despiteFailures && now < candidate.backoffUntil {
 		return false
 	}
-	return !candidate.cold(now) || candidate.mayStart(now)
+	return !candidate.cold(now) || candidate.coldStartAllowed(now)
 }
 
 // fail counts a failed request.
-func (candidate *candidate) fail(now clock.Moment) {
-	candidate.failRate += failureWeight * (1 - candidate.failRate)
-	candidate.inARow++
-	doublings := min(candidate.inARow-1, mostDoublings)
-	candidate.avoidUntil = now.Add(firstAvoidance * clock.Milliseconds(int(1)<<doublings))
+func (candidate *candidate) recordFailure(now clock.Moment) {
+	candidate.failureRate += failureWeight * (1 - candidate.failureRate)
+	candidate.consecutiveFailures++
+	doublings := min(candidate.consecutiveFailures-1, mostDoublings)
+	candidate.backoffUntil = now.Add(initialBackoff * clock.Milliseconds(int(1)<<doublings))
 }
 
 // succeed counts a request that went well.
-func (candidate *candidate) succeed() {
-	candidate.failRate -= failureWeight * candidate.failRate
-	candidate.inARow = 0
-	candidate.avoidUntil = 0
+func (candidate *candidate) recordSuccess() {
+	candidate.failureRate -= failureWeight * candidate.failureRate
+	candidate.consecutiveFailures = 0
+	candidate.backoffUntil = 0
 }
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -33,18 +33,18 @@
 			scheduler.SetTargets([]TargetConfig{home})
 			for range 200 {
 				scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-				place, _, err := scheduler.Enter(demand())
+				permit, _, err := scheduler.Enter(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
-				place.Size = testCase.size
-				place.Release(Succeeded)
+				permit.Size = testCase.size
+				permit.Release(Succeeded)
 			}
 			scheduler.SetTargets([]TargetConfig{home, {Name: "far", Slots: 8, Usable: true}})
 			scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
 			scheduler.Observe("far", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-			place, _, err := scheduler.Enter(demand())
+			permit, _, err := scheduler.Enter(demand())
 			require.NoError(t, err)
-			require.Equal(t, testCase.expect, place.Target.Name)
+			require.Equal(t, testCase.expect, permit.Target.Name)
 		})
 	}
 }
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -30,33 +30,33 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(5, 5))
-			concurrency := &concurrency{learns: testCase.learns}
+			concurrencyModel := &concurrencyModel{learning: testCase.learns}
 			const work = 100 * clock.Millisecond
 			for range 3000 {
-				first := 1 + random.IntN(concurrency.of(testCase.slots).roomNow())
+				first := 1 + random.IntN(concurrencyModel.classOf(testCase.slots).currentLimit())
 				held := work * clock.Milliseconds(testCase.longer(first)*(1+0.3*random.NormFloat64()))
-				concurrency.of(testCase.slots).learn(&flight{first: first, peak: first}, work, held)
+				concurrencyModel.classOf(testCase.slots).learn(&activeRequest{inFlightAtStart: first, peakInFlight: first}, work, held)
 			}
-			require.InDelta(t, testCase.room, concurrency.of(testCase.slots).room, float64(testCase.slots)/16)
+			require.InDelta(t, testCase.room, concurrencyModel.classOf(testCase.slots).concurrencyLimit, float64(testCase.slots)/16)
 		})
 	}
 }
 
 // A request starts alone, and others join it. What it takes tells nothing of how it is to start beside others.
 func TestLaterRequestsTellNothing(t *testing.T) {
-	concurrency := &concurrency{learns: true}
-	before := concurrency.of(4).longer[3]
-	concurrency.of(4).learn(&flight{first: 3, peak: 4}, 100, 1000)
-	require.InDelta(t, before, concurrency.of(4).longer[3], 0)
+	concurrencyModel := &concurrencyModel{learning: true}
+	before := concurrencyModel.classOf(4).durationFactors[3]
+	concurrencyModel.classOf(4).learn(&activeRequest{inFlightAtStart: 3, peakInFlight: 4}, 100, 1000)
+	require.InDelta(t, before, concurrencyModel.classOf(4).durationFactors[3], 0)
 }
 
 // What more requests at once do to a server is not known. Two at a time find out; were it all, every server would be too full.
 func TestFewRequestsFindOutTheRoom(t *testing.T) {
-	concurrency := &concurrency{learns: true}
-	slotClass := concurrency.of(4)
-	require.Equal(t, 4, slotClass.roomNow())
-	slotClass.trials = concurrencyTrials
-	require.Equal(t, 3, slotClass.roomNow())
+	concurrencyModel := &concurrencyModel{learning: true}
+	slotClass := concurrencyModel.classOf(4)
+	require.Equal(t, 4, slotClass.currentLimit())
+	slotClass.explorations = maxExplorations
+	require.Equal(t, 3, slotClass.currentLimit())
 }
 
 // Requests ended on a server that was fast, slow and fast again while they ran. Afterwards it can be told what each assumption says
@@ -64,13 +64,13 @@
 func TestHindsight(t *testing.T) {
 	const start = clock.Moment(30000)
 	share := 1.0
-	known := &candidate{Target: &Target{Name: "one"}, offer: TargetConfig{Slots: 4}, coldShare: &share, concurrency: &concurrency{}}
+	candidate := &candidate{Target: &Target{Name: "one"}, config: TargetConfig{Slots: 4}, coldShare: &share, concurrencyModel: &concurrencyModel{}}
 	for number, slowdown := range []float64{1, 5, 1, 1, 0, 1} {
 		if slowdown == 0 {
 			continue
 		}
 		begun := start.Add(clock.Milliseconds(number) * 150)
-		known.observe(LoadReading{At: begun.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
+		candidate.observe(LoadReading{At: begun.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
 	}
 	cases := []struct {
 		name     string
@@ -90,10 +90,10 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			since := start.Add(testCase.after)
-			told, found := known.hindsight(since, since.Add(testCase.held), 100, 1.25)
+			forecast, found := candidate.retrospectiveForecast(since, since.Add(testCase.held), 100, 1.25)
 			require.Equal(t, testCase.found, found)
-			require.InDelta(t, testCase.kept, float64(told.kept), 0.1)
-			require.InDelta(t, testCase.followed, float64(told.followed), 3)
+			require.InDelta(t, testCase.kept, float64(forecast.fixed), 0.1)
+			require.InDelta(t, testCase.followed, float64(forecast.varying), 3)
 		})
 	}
 }
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -95,10 +95,10 @@
 	// scheduler and candidate stand in place of dispatcher on a place that a Scheduler gave.
 	scheduler *Scheduler
 	candidate *candidate
-	expected  *expectation
+	expected  *classStats
 	fast      bool
 	// flight is what the request sees of its target while it is under way.
-	flight *flight
+	flight *activeRequest
 	// tried is set when the request is one more than the target was thought to do well with.
 	tried *slotClass
 }
@@ -111,7 +111,7 @@
 	random    *rand.Rand
 	limits    Limits
 	targets   map[settings.TargetName]*Target
-	index     levelIndex[Target]
+	index     bucketIndex[Target]
 	live      int
 	listed    int
 	waiting   waitQueue
@@ -162,7 +162,7 @@
 		return
 	}
 	added := &Target{Name: name, Address: address, DataCentre: dataCentre}
-	added.listing = levelEntry[Target]{item: added, level: unlisted}
+	added.listing = bucketEntry[Target]{item: added, bucket: unlisted}
 	dispatcher.targets[name] = added
 	dispatcher.ordered = append(dispatcher.ordered, added)
 	dispatcher.live++
@@ -231,7 +231,7 @@
 // relist puts target on the list where it now belongs.
 func (dispatcher *Dispatcher) relist(target *Target) {
 	level := target.computeLevel(dispatcher.tricklesTo(target))
-	if (level == unlisted) != (target.listing.level == unlisted) {
+	if (level == unlisted) != (target.listing.bucket == unlisted) {
 		if level == unlisted {
 			dispatcher.listed--
 		} else {
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -12,54 +12,54 @@
 )
 
 // exhaustive chooses by looking at all targets, as simply as can be.
-type exhaustive struct {
+type exhaustiveChooser struct {
 	*Scheduler
 
 	now    clock.Moment
 	random *rand.Rand
 }
 
-func (exhaustive *exhaustive) finish(candidate *candidate, expected *expectation, times clock.Milliseconds) clock.Milliseconds {
-	now, work := exhaustive.now, expected.work*times
-	slowdown := clock.Milliseconds(candidate.slowdownAt(now, exhaustive.meanSlowdown))
-	kept, followed := work*slowdown, work*slowdown
-	if candidate.cadence.period > 0 {
-		overSpells := exhaustive.overSpells()
+func (exhaustiveChooser *exhaustiveChooser) finish(candidate *candidate, classStats *classStats, times clock.Milliseconds) clock.Milliseconds {
+	now, serviceTime := exhaustiveChooser.now, classStats.serviceTime*times
+	slowdown := clock.Milliseconds(candidate.expectedSlowdown(now, exhaustiveChooser.meanSlowdown))
+	fixed, varying := serviceTime*slowdown, serviceTime*slowdown
+	if candidate.slowdownCycle.period > 0 {
+		longRunSlowdown := exhaustiveChooser.longRunSlowdown()
 		if candidate.cold(now) {
-			overSpells *= coldSlowdown
+			longRunSlowdown *= coldSlowdown
 		}
-		if steady := candidate.cadence.until(now); kept > steady {
-			followed = steady + (work-steady/slowdown)*clock.Milliseconds(overSpells)
+		if steady := candidate.slowdownCycle.untilBoundary(now); fixed > steady {
+			varying = steady + (serviceTime-steady/slowdown)*clock.Milliseconds(longRunSlowdown)
 		}
 	}
-	taken := float64(candidate.own + candidate.others(now))
-	finish := exhaustive.pace.expected(forecast{kept: kept, followed: followed})
-	return finish + expected.work*clock.Milliseconds(concurrencyCost*taken/float64(candidate.room())+failureCosts*candidate.failRate)
+	taken := float64(candidate.ownInFlight + candidate.othersInFlight(now))
+	finish := exhaustiveChooser.slowdownModel.weighted(durationForecast{fixed: fixed, varying: varying})
+	return finish + classStats.serviceTime*clock.Milliseconds(concurrencyCost*taken/float64(candidate.concurrencyLimit())+failureCost*candidate.failureRate)
 }
 
 // cost is what targets are compared by, but for chance.
-func (exhaustive *exhaustive) cost(candidate *candidate, expected *expectation, chance float64) clock.Milliseconds {
-	cost := exhaustive.finish(candidate, expected, 1) + exhaustive.finish(candidate, expected, longTimes)
-	cost *= clock.Milliseconds(1 + choiceSpread*chance)
-	if !candidate.offer.Local {
-		cost += 2 * (farCost + clock.Milliseconds(expected.size/bytesPerMillisecond))
+func (exhaustiveChooser *exhaustiveChooser) cost(candidate *candidate, classStats *classStats, chance float64) clock.Milliseconds {
+	cost := exhaustiveChooser.finish(candidate, classStats, 1) + exhaustiveChooser.finish(candidate, classStats, longRequestFactor)
+	cost *= clock.Milliseconds(1 + choiceJitter*chance)
+	if !candidate.config.Local {
+		cost += 2 * (remoteCost + clock.Milliseconds(classStats.answerSize/bytesPerMillisecond))
 	}
 	return cost
 }
 
-func (exhaustive *exhaustive) best(demand Demand, despiteFailures bool) *candidate {
-	expected := exhaustive.expect(demand.Class)
+func (exhaustiveChooser *exhaustiveChooser) best(permitRequest Demand, despiteFailures bool) *candidate {
+	classStats := exhaustiveChooser.classStatsOf(permitRequest.Class)
 	var best, tried *candidate
 	var least clock.Milliseconds
-	for _, candidate := range exhaustive.ordered {
-		if !candidate.open(exhaustive.now, despiteFailures) {
+	for _, candidate := range exhaustiveChooser.ordered {
+		if !candidate.available(exhaustiveChooser.now, despiteFailures) {
 			continue
 		}
-		if candidate.Target == demand.Tried {
+		if candidate.Target == permitRequest.Tried {
 			tried = candidate
 			continue
 		}
-		if cost := exhaustive.cost(candidate, expected, exhaustive.random.Float64()); best == nil || cost < least {
+		if cost := exhaustiveChooser.cost(candidate, classStats, exhaustiveChooser.random.Float64()); best == nil || cost < least {
 			best, least = candidate, cost
 		}
 	}
@@ -69,55 +69,55 @@
 	return best
 }
 
-func (exhaustive *exhaustive) anyOpen() bool {
-	return slices.ContainsFunc(exhaustive.ordered, func(candidate *candidate) bool {
-		return candidate.open(exhaustive.now, true) && !candidate.slow(exhaustive.now)
+func (exhaustiveChooser *exhaustiveChooser) anyFastAvailable() bool {
+	return slices.ContainsFunc(exhaustiveChooser.ordered, func(candidate *candidate) bool {
+		return candidate.available(exhaustiveChooser.now, true) && !candidate.slow(exhaustiveChooser.now)
 	})
 }
 
-func (exhaustive *exhaustive) taken() (int, int) {
+func (exhaustiveChooser *exhaustiveChooser) inFlightAndLimit() (int, int) {
 	taken, room := 0, 0
-	for _, candidate := range exhaustive.ordered {
-		if candidate.offer.Usable && !candidate.down {
-			room += candidate.room()
-			taken += min(candidate.own+candidate.others(exhaustive.now), candidate.room())
+	for _, candidate := range exhaustiveChooser.ordered {
+		if candidate.config.Usable && !candidate.down {
+			room += candidate.concurrencyLimit()
+			taken += min(candidate.ownInFlight+candidate.othersInFlight(exhaustiveChooser.now), candidate.concurrencyLimit())
 		}
 	}
 	return taken, room
 }
 
 // check compares what the scheduler finds with what looking at all targets does.
-func (upheaval *upheaval) check() {
-	scheduler, now := upheaval.scheduler, upheaval.clock.Now()
-	seed := upheaval.random.Uint64()
-	exhaustive := &exhaustive{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
-	require.Equal(upheaval, exhaustive.anyOpen(), scheduler.anyOpen(now), "any open")
-	taken, room := exhaustive.taken()
+func (randomWorkload *randomWorkload) check() {
+	scheduler, now := randomWorkload.scheduler, randomWorkload.clock.Now()
+	seed := randomWorkload.random.Uint64()
+	exhaustiveChooser := &exhaustiveChooser{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
+	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any open")
+	taken, room := exhaustiveChooser.inFlightAndLimit()
 	foundTaken, foundRoom := scheduler.taken(now)
-	require.Equal(upheaval, []int{taken, room}, []int{foundTaken, foundRoom}, "taken and room")
-	demand := upheaval.demand()
+	require.Equal(randomWorkload, []int{taken, room}, []int{foundTaken, foundRoom}, "taken and room")
+	permitRequest := randomWorkload.demand()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
-	expected := exhaustive.best(demand, false)
-	found, finish := scheduler.best(now, scheduler.expect(demand.Class), demand.Tried, false)
+	expected := exhaustiveChooser.best(permitRequest, false)
+	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, false)
 	if expected == nil && found == nil {
-		require.Equal(upheaval, exhaustive.best(demand, true) == nil, upheaval.despite(demand) == nil, "any open despite failures")
+		require.Equal(randomWorkload, exhaustiveChooser.best(permitRequest, true) == nil, randomWorkload.bestDespiteFailures(permitRequest) == nil, "any open despite failures")
 		return
 	}
-	require.Equal(upheaval, expected == nil, found == nil, "any open")
-	require.True(upheaval, found.offer.Usable && !found.down && found.open(now, false), "open")
-	if len(scheduler.ordered) <= compareAll {
-		require.Same(upheaval, expected, found)
-		require.InDelta(upheaval, float64(exhaustive.finish(expected, scheduler.expect(demand.Class), 1)), float64(finish), 1e-6)
+	require.Equal(randomWorkload, expected == nil, found == nil, "any open")
+	require.True(randomWorkload, found.config.Usable && !found.down && found.available(now, false), "open")
+	if len(scheduler.ordered) <= maxFullComparison {
+		require.Same(randomWorkload, expected, found)
+		require.InDelta(randomWorkload, float64(exhaustiveChooser.finish(expected, scheduler.classStatsOf(permitRequest.Class), 1)), float64(finish), 1e-6)
 		return
 	}
-	require.Equal(upheaval, expected.Target == demand.Tried, found.Target == demand.Tried, "the one that was tried comes last")
-	work := scheduler.expect(demand.Class)
-	upheaval.worse = append(upheaval.worse, float64(exhaustive.cost(found, work, 0)/exhaustive.cost(expected, work, 0)-1))
+	require.Equal(randomWorkload, expected.Target == permitRequest.Tried, found.Target == permitRequest.Tried, "the one that was tried comes last")
+	classStats := scheduler.classStatsOf(permitRequest.Class)
+	randomWorkload.excessCosts = append(randomWorkload.excessCosts, float64(exhaustiveChooser.cost(found, classStats, 0)/exhaustiveChooser.cost(expected, classStats, 0)-1))
 }
 
-func (upheaval *upheaval) despite(demand Demand) *candidate {
-	found, _ := upheaval.scheduler.best(upheaval.clock.Now(), upheaval.scheduler.expect(demand.Class), demand.Tried, true)
-	require.True(upheaval, found == nil || found.offer.Usable && !found.down && found.open(upheaval.clock.Now(), true), "open despite failures")
+func (randomWorkload *randomWorkload) bestDespiteFailures(permitRequest Demand) *candidate {
+	found, _ := randomWorkload.scheduler.best(randomWorkload.clock.Now(), randomWorkload.scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, true)
+	require.True(randomWorkload, found == nil || found.config.Usable && !found.down && found.available(randomWorkload.clock.Now(), true), "open despite failures")
 	return found
 }
 
@@ -133,28 +133,28 @@
 	}{
 		{targets: 3, steps: 4000},
 		{targets: 16, steps: 4000},
-		{targets: 17, steps: 4000, mean: choiceSpread, most: 0.2},
-		{targets: 60, steps: 4000, mean: choiceSpread, most: 0.2},
-		{targets: 300, steps: 6000, mean: choiceSpread, most: 0.2},
+		{targets: 17, steps: 4000, mean: choiceJitter, most: 0.2},
+		{targets: 60, steps: 4000, mean: choiceJitter, most: 0.2},
+		{targets: 300, steps: 6000, mean: choiceJitter, most: 0.2},
 	}
 	for _, testCase := range cases {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d targets, seed %d", testCase.targets, seed), func(t *testing.T) {
-				upheaval := newUpheaval(t, testCase.targets, seed)
+				randomWorkload := newRandomWorkload(t, testCase.targets, seed)
 				for range testCase.steps {
-					upheaval.step()
-					upheaval.check()
+					randomWorkload.step()
+					randomWorkload.check()
 				}
-				if len(upheaval.worse) == 0 {
+				if len(randomWorkload.excessCosts) == 0 {
 					return
 				}
-				slices.Sort(upheaval.worse)
+				slices.Sort(randomWorkload.excessCosts)
 				sum := 0.0
-				for _, worse := range upheaval.worse {
+				for _, worse := range randomWorkload.excessCosts {
 					sum += worse
 				}
-				mean, most := sum/float64(len(upheaval.worse)), upheaval.worse[len(upheaval.worse)*99/100]
-				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at the most", len(upheaval.worse), mean, most, slices.Max(upheaval.worse))
+				mean, most := sum/float64(len(randomWorkload.excessCosts)), randomWorkload.excessCosts[len(randomWorkload.excessCosts)*99/100]
+				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at the most", len(randomWorkload.excessCosts), mean, most, slices.Max(randomWorkload.excessCosts))
 				require.LessOrEqual(t, mean, testCase.mean)
 				require.LessOrEqual(t, most, testCase.most)
 			})
--- a/internal/service/filing.go
+++ b/internal/service/filing.go
@@ -13,225 +13,225 @@
 // Filing only says which targets are compared: whether the chosen one is open is asked again.
 
 // filing is where a candidate is filed.
-type filing struct {
-	entry levelEntry[candidate]
+type indexEntry struct {
+	bucketEntry bucketEntry[candidate]
 	// outlook and shared are what is predicted from until it is filed anew: they lie beside the entry, so that comparing it touches
 	// little memory.
-	outlook outlook
-	shared  float64
-	slow    bool
+	forecast    slowdownForecast
+	loadPenalty float64
+	slow        bool
 	// index lists it, nil when it is closed; fast is the count of open targets that aren't slow in which it is contained, nil for none.
-	index *phasedIndex
-	phase int
-	fast  *int
+	phaseIndex *phaseIndex
+	phase      int
+	fastCount  *int
 	// slotClass counts it by the number of requests there, taken, nil while it isn't in use.
 	slotClass *slotClass
-	taken     int
+	inFlight  int
 	// change is when it must be filed anew.
-	change timer[candidate]
+	reindexTimer timer[candidate]
 }
 
 // openness is for which requests a target is open.
-type openness int
+type availability int
 
 const (
-	openToAll openness = iota
+	availableToAll availability = iota
 	// openDespiteFailures takes requests that find no other target.
-	openDespiteFailures
-	opennesses
+	availableDespiteFailures
+	availabilityCount
 )
 
 // openTargets lists open targets, those of the own data centre and the others.
-type openTargets struct {
-	near, far [opennesses]phasedIndex
+type availableTargets struct {
+	local, remote [availabilityCount]phaseIndex
 	// fast is the number of them that aren't slow.
-	fast int
+	fastCount int
 }
 
 // phases is the number of parts of a period by which targets are told apart.
-const phases = 16
+const phaseCount = 16
 
 // phasedIndex lists targets by the part of a period in which their slowness may change, those of which that isn't known in the last
 // list, and each part by how many times longer than usual requests take there.
-type phasedIndex struct {
+type phaseIndex struct {
 	// notEmpty has a bit for each list that holds any.
 	notEmpty uint32
-	lists    [phases + 1]levelIndex[candidate]
+	lists    [phaseCount + 1]bucketIndex[candidate]
 }
 
 // phaseOf is the part of a period in which a moment lies.
 func phaseOf(at clock.Moment, period clock.Milliseconds) int {
 	if period == 0 {
-		return phases
+		return phaseCount
 	}
-	turns := float64(at) / float64(period)
-	return min(int((turns-math.Floor(turns))*phases), phases-1)
+	periods := float64(at) / float64(period)
+	return min(int((periods-math.Floor(periods))*phaseCount), phaseCount-1)
 }
 
 const (
 	// levelsPerDoubling makes neighbouring levels differ by 4 percent, and the last one begin at 11 times longer than usual.
-	levelsPerDoubling = 18
+	bucketsPerDoubling = 18
 	// refileFade is how often a target without a cadence is filed anew while its reading loses its worth.
-	refileFade = spellLength / 4
+	fadeReindexInterval = defaultSlowdownPeriod / 4
 	// tiniest keeps a moment that was worked out a rounding error too early from being due again at once.
-	tiniest = 1e-3 * clock.Millisecond
+	minReindexDelay = 1e-3 * clock.Millisecond
 )
 
 // file files a candidate by what holds now.
-func (scheduler *Scheduler) file(now clock.Moment, candidate *candidate) {
-	filing := &candidate.filing
-	filing.outlook = candidate.outlookAt(now, scheduler.meanSlowdown)
-	filing.slow = candidate.slow(now)
-	scheduler.fileTaken(now, candidate)
-	if change := candidate.changesAt(now); change == never {
-		scheduler.changes.remove(&filing.change)
+func (scheduler *Scheduler) reindex(now clock.Moment, candidate *candidate) {
+	indexEntry := &candidate.indexEntry
+	indexEntry.forecast = candidate.forecastSlowdown(now, scheduler.meanSlowdown)
+	indexEntry.slow = candidate.slow(now)
+	scheduler.reindexInFlight(now, candidate)
+	if reindexAt := candidate.nextReindexAt(now); reindexAt == never {
+		scheduler.reindexTimers.remove(&indexEntry.reindexTimer)
 	} else {
-		scheduler.changes.set(&filing.change, max(change, now.Add(tiniest)))
+		scheduler.reindexTimers.set(&indexEntry.reindexTimer, max(reindexAt, now.Add(minReindexDelay)))
 	}
 }
 
 // fileTaken files a candidate of which nothing has changed but how many requests are there. One that is cold also needs a timer.
-func (scheduler *Scheduler) fileTaken(now clock.Moment, candidate *candidate) {
-	filing := &candidate.filing
-	taken := candidate.own + candidate.others(now)
-	filing.shared = candidate.sharedBy(taken, candidate.slotClass.room)
-	if candidate.offer.Usable && !candidate.down {
-		filing.count(candidate.slotClass, taken)
+func (scheduler *Scheduler) reindexInFlight(now clock.Moment, candidate *candidate) {
+	indexEntry := &candidate.indexEntry
+	inFlight := candidate.ownInFlight + candidate.othersInFlight(now)
+	indexEntry.loadPenalty = candidate.loadPenalty(inFlight, candidate.slotClass.concurrencyLimit)
+	if candidate.config.Usable && !candidate.down {
+		indexEntry.countInFlight(candidate.slotClass, inFlight)
 	} else {
-		filing.count(nil, 0)
+		indexEntry.countInFlight(nil, 0)
 	}
-	open, openness := scheduler.openBy(now, candidate, taken)
+	availableTargets, availability := scheduler.availableListOf(now, candidate, inFlight)
 	switch {
-	case open == nil || len(scheduler.ordered) <= compareAll:
-		filing.list(nil, 0)
-	case candidate.offer.Local:
-		filing.list(&open.near[openness], phaseOf(candidate.cadence.boundary, candidate.cadence.period))
+	case availableTargets == nil || len(scheduler.ordered) <= maxFullComparison:
+		indexEntry.moveTo(nil, 0)
+	case candidate.config.Local:
+		indexEntry.moveTo(&availableTargets.local[availability], phaseOf(candidate.slowdownCycle.boundary, candidate.slowdownCycle.period))
 	default:
-		filing.list(&open.far[openness], phaseOf(candidate.cadence.boundary, candidate.cadence.period))
+		indexEntry.moveTo(&availableTargets.remote[availability], phaseOf(candidate.slowdownCycle.boundary, candidate.slowdownCycle.period))
 	}
-	if open == nil || filing.slow {
-		filing.countFast(nil)
+	if availableTargets == nil || indexEntry.slow {
+		indexEntry.countAsFast(nil)
 	} else {
-		filing.countFast(&open.fast)
+		indexEntry.countAsFast(&availableTargets.fastCount)
 	}
 }
 
 // fileEnded files a candidate on which a request has ended, and all if that has changed how many a target runs well.
-func (scheduler *Scheduler) fileEnded(now clock.Moment, candidate *candidate, result Result) {
+func (scheduler *Scheduler) reindexAfterRequest(now clock.Moment, candidate *candidate, result Result) {
 	slotClass := candidate.slotClass
 	switch {
-	case slotClass.filedRoom != slotClass.room:
-		slotClass.filedRoom = slotClass.room
-		scheduler.fileAll(now)
+	case slotClass.indexedLimit != slotClass.concurrencyLimit:
+		slotClass.indexedLimit = slotClass.concurrencyLimit
+		scheduler.reindexAll(now)
 	case result == Failed:
-		scheduler.file(now, candidate)
+		scheduler.reindex(now, candidate)
 	default:
-		scheduler.fileTaken(now, candidate)
+		scheduler.reindexInFlight(now, candidate)
 	}
 }
 
 // fileAll files all candidates anew.
-func (scheduler *Scheduler) fileAll(now clock.Moment) {
+func (scheduler *Scheduler) reindexAll(now clock.Moment) {
 	for _, candidate := range scheduler.ordered {
-		scheduler.file(now, candidate)
+		scheduler.reindex(now, candidate)
 	}
 }
 
 // unfile takes a candidate out that is forgotten.
-func (scheduler *Scheduler) unfile(candidate *candidate) {
-	candidate.filing.list(nil, 0)
-	candidate.filing.countFast(nil)
-	candidate.filing.count(nil, 0)
-	scheduler.changes.remove(&candidate.filing.change)
+func (scheduler *Scheduler) removeFromIndex(candidate *candidate) {
+	candidate.indexEntry.moveTo(nil, 0)
+	candidate.indexEntry.countAsFast(nil)
+	candidate.indexEntry.countInFlight(nil, 0)
+	scheduler.reindexTimers.remove(&candidate.indexEntry.reindexTimer)
 }
 
 // refresh files those anew for which time has changed something.
-func (scheduler *Scheduler) refresh(now clock.Moment) {
-	for first := scheduler.changes.due(now); first != nil; first = scheduler.changes.due(now) {
-		scheduler.file(now, first)
+func (scheduler *Scheduler) reindexDue(now clock.Moment) {
+	for first := scheduler.reindexTimers.due(now); first != nil; first = scheduler.reindexTimers.due(now) {
+		scheduler.reindex(now, first)
 	}
 }
 
 // list puts the candidate on the list of the phase, or on none.
-func (filing *filing) list(index *phasedIndex, phase int) {
-	if filing.index != nil && (filing.index != index || filing.phase != phase) {
-		filing.index.move(filing.phase, &filing.entry, unlisted)
+func (indexEntry *indexEntry) moveTo(phaseIndex *phaseIndex, phase int) {
+	if indexEntry.phaseIndex != nil && (indexEntry.phaseIndex != phaseIndex || indexEntry.phase != phase) {
+		indexEntry.phaseIndex.move(indexEntry.phase, &indexEntry.bucketEntry, unlisted)
 	}
-	filing.index, filing.phase = index, phase
-	if index != nil {
-		index.move(phase, &filing.entry, filing.level())
+	indexEntry.phaseIndex, indexEntry.phase = phaseIndex, phase
+	if phaseIndex != nil {
+		phaseIndex.move(phase, &indexEntry.bucketEntry, indexEntry.bucket())
 	}
 }
 
-func (phasedIndex *phasedIndex) move(phase int, entry *levelEntry[candidate], level int) {
-	list := &phasedIndex.lists[phase]
-	list.move(entry, level)
-	if list.notEmpty == 0 {
-		phasedIndex.notEmpty &^= 1 << phase
+func (phaseIndex *phaseIndex) move(phase int, entry *bucketEntry[candidate], bucket int) {
+	bucketIndex := &phaseIndex.lists[phase]
+	bucketIndex.move(entry, bucket)
+	if bucketIndex.notEmpty == 0 {
+		phaseIndex.notEmpty &^= 1 << phase
 	} else {
-		phasedIndex.notEmpty |= 1 << phase
+		phaseIndex.notEmpty |= 1 << phase
 	}
 }
 
-func (filing *filing) countFast(fast *int) {
-	if filing.fast == fast {
+func (indexEntry *indexEntry) countAsFast(fastCount *int) {
+	if indexEntry.fastCount == fastCount {
 		return
 	}
-	if filing.fast != nil {
-		*filing.fast--
+	if indexEntry.fastCount != nil {
+		*indexEntry.fastCount--
 	}
-	if fast != nil {
-		*fast++
+	if fastCount != nil {
+		*fastCount++
 	}
-	filing.fast = fast
+	indexEntry.fastCount = fastCount
 }
 
-func (filing *filing) count(slotClass *slotClass, taken int) {
+func (indexEntry *indexEntry) countInFlight(slotClass *slotClass, inFlight int) {
 	if slotClass != nil {
-		taken = min(max(taken, 0), len(slotClass.targets)-1)
+		inFlight = min(max(inFlight, 0), len(slotClass.targetCounts)-1)
 	}
-	if filing.slotClass == slotClass && filing.taken == taken {
+	if indexEntry.slotClass == slotClass && indexEntry.inFlight == inFlight {
 		return
 	}
-	if filing.slotClass != nil {
-		filing.slotClass.targets[filing.taken]--
+	if indexEntry.slotClass != nil {
+		indexEntry.slotClass.targetCounts[indexEntry.inFlight]--
 	}
 	if slotClass != nil {
-		slotClass.targets[taken]++
+		slotClass.targetCounts[inFlight]++
 	}
-	filing.slotClass, filing.taken = slotClass, taken
+	indexEntry.slotClass, indexEntry.inFlight = slotClass, inFlight
 }
 
 // openBy returns the list of open targets to which the candidate belongs, nil when it is closed. One that is open only while
 // its slotClass finds out about one more request has a list of its own, for that begins and ends with any request.
-func (scheduler *Scheduler) openBy(now clock.Moment, candidate *candidate, taken int) (*openTargets, openness) {
+func (scheduler *Scheduler) availableListOf(now clock.Moment, candidate *candidate, inFlight int) (*availableTargets, availability) {
 	slotClass := candidate.slotClass
-	switch next := slotClass.next(); {
-	case !candidate.offer.Usable || candidate.down || taken >= candidate.share(next):
-		return nil, openToAll
-	case candidate.openWith(now, slotClass.room, false):
-		return &scheduler.open, openToAll
-	case candidate.openWith(now, next, false):
-		return &slotClass.open, openToAll
-	case candidate.openWith(now, slotClass.room, true):
-		return &scheduler.open, openDespiteFailures
-	case candidate.openWith(now, next, true):
-		return &slotClass.open, openDespiteFailures
+	switch nextLimit := slotClass.nextLimit(); {
+	case !candidate.config.Usable || candidate.down || inFlight >= candidate.limitShare(nextLimit):
+		return nil, availableToAll
+	case candidate.availableWithLimit(now, slotClass.concurrencyLimit, false):
+		return &scheduler.available, availableToAll
+	case candidate.availableWithLimit(now, nextLimit, false):
+		return &slotClass.availableBeyondLimit, availableToAll
+	case candidate.availableWithLimit(now, slotClass.concurrencyLimit, true):
+		return &scheduler.available, availableDespiteFailures
+	case candidate.availableWithLimit(now, nextLimit, true):
+		return &slotClass.availableBeyondLimit, availableDespiteFailures
 	}
-	return nil, openToAll
+	return nil, availableToAll
 }
 
 // level is by how many times longer than usual requests take there, as they are compared.
-func (filing *filing) level() int {
-	times := float64(filing.outlook.slowdown) + 2/(1+longTimes)*filing.shared
+func (indexEntry *indexEntry) bucket() int {
+	times := float64(indexEntry.forecast.slowdown) + 2/(1+longRequestFactor)*indexEntry.loadPenalty
 	if times <= 1 {
 		return 0
 	}
-	return min(int(levelsPerDoubling*math.Log2(times)), levels-1)
+	return min(int(bucketsPerDoubling*math.Log2(times)), levels-1)
 }
 
 // changesAt is the next moment at which the passing of time may change how the candidate is filed.
-func (candidate *candidate) changesAt(now clock.Moment) clock.Moment {
+func (candidate *candidate) nextReindexAt(now clock.Moment) clock.Moment {
 	next := never
 	until := func(at clock.Moment) {
 		if now < at {
@@ -239,31 +239,31 @@
 		}
 	}
 	until(candidate.coldUntil)
-	until(candidate.avoidUntil)
+	until(candidate.backoffUntil)
 	until(candidate.ownedFrom)
-	if candidate.offer.Owned && now >= candidate.ownedFrom && candidate.cold(now) {
-		next = min(next, candidate.startsAt(now))
+	if candidate.config.Owned && now >= candidate.ownedFrom && candidate.cold(now) {
+		next = min(next, candidate.nextColdStartAt(now))
 	}
-	if !candidate.read || candidate.stale(now) {
+	if !candidate.hasReading || candidate.stale(now) {
 		return next
 	}
-	read := candidate.reading.At
-	until(read.Add(staleReading + tiniest))
-	if others := candidate.others(now); others > 0 {
-		next = min(next, read.Add(othersFade*clock.Milliseconds(1-(float64(others)-0.5)/float64(candidate.othersTold()))))
+	readAt := candidate.reading.At
+	until(readAt.Add(maxReadingAge + minReindexDelay))
+	if others := candidate.othersInFlight(now); others > 0 {
+		next = min(next, readAt.Add(othersDecayTime*clock.Milliseconds(1-(float64(others)-0.5)/float64(candidate.othersAtReading()))))
 	}
-	cadence := &candidate.cadence
-	if cadence.period == 0 {
-		if faded := read.Add(spellLength); now < faded {
-			next = min(next, faded, now.Add(refileFade))
+	slowdownCycle := &candidate.slowdownCycle
+	if slowdownCycle.period == 0 {
+		if fadedAt := readAt.Add(defaultSlowdownPeriod); now < fadedAt {
+			next = min(next, fadedAt, now.Add(fadeReindexInterval))
 		}
 		return next
 	}
-	switch since := cadence.spell(now) - cadence.spell(read); {
+	switch since := slowdownCycle.intervalAt(now) - slowdownCycle.intervalAt(readAt); {
 	case since <= 0:
-		until(now.Add(cadence.until(now)))
+		until(now.Add(slowdownCycle.untilBoundary(now)))
 	case since == 1:
-		until(now.Add(readingDue - cadence.since(now)))
+		until(now.Add(readingDue - slowdownCycle.sinceBoundary(now)))
 	}
 	return next
 }
--- a/internal/service/levels.go
+++ b/internal/service/levels.go
@@ -7,66 +7,66 @@
 
 // levelIndex lists items by a level, such as the share of a target's places taken, so that finding the least takes the same time
 // however many there are: one bit a level tells which are not empty, and each list can be changed at any position.
-type levelIndex[T any] struct {
+type bucketIndex[T any] struct {
 	notEmpty uint64
 	// lists is made when it is first needed.
-	lists [][]*levelEntry[T]
+	buckets [][]*bucketEntry[T]
 }
 
 // levelEntry is where an item stands in a levelIndex.
-type levelEntry[T any] struct {
+type bucketEntry[T any] struct {
 	item     *T
-	level    int
+	bucket   int
 	position int
 }
 
 // move puts an entry on the list of the given level, or on none.
-func (levelIndex *levelIndex[T]) move(entry *levelEntry[T], level int) {
-	if entry.level == level {
+func (bucketIndex *bucketIndex[T]) move(entry *bucketEntry[T], bucket int) {
+	if entry.bucket == bucket {
 		return
 	}
-	levelIndex.remove(entry)
-	if level == unlisted {
+	bucketIndex.remove(entry)
+	if bucket == unlisted {
 		return
 	}
-	if levelIndex.lists == nil {
-		levelIndex.lists = make([][]*levelEntry[T], levels)
+	if bucketIndex.buckets == nil {
+		bucketIndex.buckets = make([][]*bucketEntry[T], levels)
 	}
-	entry.level = level
-	entry.position = len(levelIndex.lists[level])
-	levelIndex.lists[level] = append(levelIndex.lists[level], entry)
-	levelIndex.notEmpty |= 1 << level
+	entry.bucket = bucket
+	entry.position = len(bucketIndex.buckets[bucket])
+	bucketIndex.buckets[bucket] = append(bucketIndex.buckets[bucket], entry)
+	bucketIndex.notEmpty |= 1 << bucket
 }
 
 // remove takes an entry off its list.
-func (levelIndex *levelIndex[T]) remove(entry *levelEntry[T]) {
-	if entry.level == unlisted {
+func (bucketIndex *bucketIndex[T]) remove(entry *bucketEntry[T]) {
+	if entry.bucket == unlisted {
 		return
 	}
-	list := levelIndex.lists[entry.level]
+	list := bucketIndex.buckets[entry.bucket]
 	last := list[len(list)-1]
 	list[entry.position] = last
 	last.position = entry.position
 	list[len(list)-1] = nil
 	list = list[:len(list)-1]
-	levelIndex.lists[entry.level] = list
+	bucketIndex.buckets[entry.bucket] = list
 	if len(list) == 0 {
-		levelIndex.notEmpty &^= 1 << entry.level
+		bucketIndex.notEmpty &^= 1 << entry.bucket
 	}
-	entry.level = unlisted
+	entry.bucket = unlisted
 }
 
 // lowest returns the lowest level at which an item is listed, levels when there is none.
-func (levelIndex *levelIndex[T]) lowest() int {
-	return bits.TrailingZeros64(levelIndex.notEmpty)
+func (bucketIndex *bucketIndex[T]) lowest() int {
+	return bits.TrailingZeros64(bucketIndex.notEmpty)
 }
 
 // any returns an item of the lowest level at random, or nil.
-func (levelIndex *levelIndex[T]) any(random *rand.Rand) *T {
-	if levelIndex.notEmpty == 0 {
+func (bucketIndex *bucketIndex[T]) randomLowest(random *rand.Rand) *T {
+	if bucketIndex.notEmpty == 0 {
 		return nil
 	}
-	list := levelIndex.lists[levelIndex.lowest()]
+	list := bucketIndex.buckets[bucketIndex.lowest()]
 	if len(list) == 1 {
 		return list[0].item
 	}
@@ -74,16 +74,16 @@
 }
 
 // gather appends items of the lowest levels, the given number at most, from a random position on where a list has more of them.
-func (levelIndex *levelIndex[T]) gather(random *rand.Rand, gathered []*T, most int) []*T {
-	for remaining := levelIndex.notEmpty; remaining != 0 && most > 0; remaining &= remaining - 1 {
-		list := levelIndex.lists[bits.TrailingZeros64(remaining)]
+func (bucketIndex *bucketIndex[T]) collectLowest(random *rand.Rand, gathered []*T, limit int) []*T {
+	for remaining := bucketIndex.notEmpty; remaining != 0 && limit > 0; remaining &= remaining - 1 {
+		list := bucketIndex.buckets[bits.TrailingZeros64(remaining)]
 		position := 0
-		if len(list) > most {
+		if len(list) > limit {
 			position = random.IntN(len(list))
 		}
-		for range min(len(list), most) {
+		for range min(len(list), limit) {
 			gathered = append(gathered, list[position].item)
-			most--
+			limit--
 			position++
 			if position == len(list) {
 				position = 0
@@ -98,9 +98,9 @@
 //
 // Random among equals matters: with a fixed order all instances, each with the same view, would send their next
 // request to the same target.
-func (levelIndex *levelIndex[T]) least(random *rand.Rand, tried *levelEntry[T]) *T {
-	for remaining := levelIndex.notEmpty; remaining != 0; remaining &= remaining - 1 {
-		list := levelIndex.lists[bits.TrailingZeros64(remaining)]
+func (bucketIndex *bucketIndex[T]) pickLowest(random *rand.Rand, tried *bucketEntry[T]) *T {
+	for remaining := bucketIndex.notEmpty; remaining != 0; remaining &= remaining - 1 {
+		list := bucketIndex.buckets[bits.TrailingZeros64(remaining)]
 		start := random.IntN(len(list))
 		if list[start] != tried {
 			return list[start].item
@@ -109,7 +109,7 @@
 			return list[(start+1)%len(list)].item
 		}
 	}
-	if tried != nil && tried.level != unlisted {
+	if tried != nil && tried.bucket != unlisted {
 		return tried.item
 	}
 	return nil
--- a/internal/service/patience.go
+++ b/internal/service/patience.go
@@ -18,32 +18,32 @@
 
 // slowNow reports whether the target is known to be slow now, for another reason than being cold.
 func (candidate *candidate) slowNow(now clock.Moment) bool {
-	if candidate.stale(now) || candidate.cold(now) || candidate.reading.Slowdown < slowFrom {
+	if candidate.stale(now) || candidate.cold(now) || candidate.reading.Slowdown < slowThreshold {
 		return false
 	}
-	if candidate.cadence.period == 0 {
-		return now.Since(candidate.reading.At) < spellLength
+	if candidate.slowdownCycle.period == 0 {
+		return now.Since(candidate.reading.At) < defaultSlowdownPeriod
 	}
-	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)
+	return candidate.slowdownCycle.intervalAt(now) == candidate.slowdownCycle.intervalAt(candidate.reading.At)
 }
 
 // aboutToTell reports whether the target's slowness may just have changed, so that a reading is under way.
 func (candidate *candidate) aboutToTell(now clock.Moment) bool {
-	if candidate.cadence.period == 0 || candidate.stale(now) || candidate.cold(now) {
+	if candidate.slowdownCycle.period == 0 || candidate.stale(now) || candidate.cold(now) {
 		return false
 	}
-	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)+1 && candidate.cadence.since(now) < readingDue
+	return candidate.slowdownCycle.intervalAt(now) == candidate.slowdownCycle.intervalAt(candidate.reading.At)+1 && candidate.slowdownCycle.sinceBoundary(now) < readingDue
 }
 
 // fastIn is how long a slow target takes until it may be fast.
 func (candidate *candidate) fastIn(now clock.Moment) clock.Milliseconds {
 	switch {
-	case candidate.cadence.period == 0:
-		return spellLength
+	case candidate.slowdownCycle.period == 0:
+		return defaultSlowdownPeriod
 	case candidate.aboutToTell(now):
-		return readingDue - candidate.cadence.since(now)
+		return readingDue - candidate.slowdownCycle.sinceBoundary(now)
 	default:
-		return candidate.cadence.until(now)
+		return candidate.slowdownCycle.untilBoundary(now)
 	}
 }
 
@@ -58,18 +58,18 @@
 	if now.Add(wait) >= waiter.until {
 		return now.Add(finish) > waiter.demand.Deadline
 	}
-	return finish > waitGain*(wait+scheduler.fastFinish(waiter.expected.work))
+	return finish > waitGain*(wait+scheduler.fastFinish(waiter.expected.serviceTime))
 }
 
 // fastFinish is how long a request of the given usual length takes that starts when a target has just turned fast.
 func (scheduler *Scheduler) fastFinish(work clock.Milliseconds) clock.Milliseconds {
-	spell := spellLength
-	if scheduler.period > 0 {
-		spell = scheduler.period
+	spell := defaultSlowdownPeriod
+	if scheduler.slowdownPeriod > 0 {
+		spell = scheduler.slowdownPeriod
 	}
 	followed := work
 	if work > spell {
-		followed = spell + (work-spell)*clock.Milliseconds(scheduler.overSpells())
+		followed = spell + (work-spell)*clock.Milliseconds(scheduler.longRunSlowdown())
 	}
-	return scheduler.pace.expected(forecast{kept: work, followed: followed})
+	return scheduler.slowdownModel.weighted(durationForecast{fixed: work, varying: followed})
 }
--- a/internal/service/patience_test.go
+++ b/internal/service/patience_test.go
@@ -14,7 +14,7 @@
 // forecast by the wrong one of the two sends requests where they are late, or lets them wait for nothing.
 func TestPaceIsLearnt(t *testing.T) {
 	const work = 100 * clock.Millisecond
-	slow := forecast{kept: 5 * work, followed: 1.5 * work}
+	slow := durationForecast{fixed: 5 * work, varying: 1.5 * work}
 	cases := []struct {
 		name     string
 		held     func(*rand.Rand) clock.Milliseconds
@@ -23,24 +23,24 @@
 		most     float64
 	}{
 		{"kept", func(random *rand.Rand) clock.Milliseconds {
-			return slow.kept * clock.Milliseconds(1+0.3*random.NormFloat64())
+			return slow.fixed * clock.Milliseconds(1+0.3*random.NormFloat64())
 		}, true, 0.85, 1},
 		{"followed", func(random *rand.Rand) clock.Milliseconds {
-			return slow.followed * clock.Milliseconds(1+0.3*random.NormFloat64())
+			return slow.varying * clock.Milliseconds(1+0.3*random.NormFloat64())
 		}, true, 0, 0.15},
 		{"given up long after it should have been answered", func(*rand.Rand) clock.Milliseconds { return 4 * work }, false, 0.65, 0.8},
-		{"given up early, which tells nothing", func(*rand.Rand) clock.Milliseconds { return work }, false, paceUnknown, paceUnknown},
+		{"given up early, which tells nothing", func(*rand.Rand) clock.Milliseconds { return work }, false, initialFixedWeight, initialFixedWeight},
 		{"held up for another reason", func(*rand.Rand) clock.Milliseconds { return 100 * work }, true, 0.95, 1},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 3))
-			learnt := &pace{}
+			learnt := &slowdownModel{}
 			for range 50 {
 				learnt.learn(slow, work, testCase.held(random), testCase.finished)
 			}
-			require.GreaterOrEqual(t, learnt.keeping(), testCase.least)
-			require.LessOrEqual(t, learnt.keeping(), testCase.most)
+			require.GreaterOrEqual(t, learnt.fixedWeight(), testCase.least)
+			require.LessOrEqual(t, learnt.fixedWeight(), testCase.most)
 		})
 	}
 }
@@ -70,8 +70,8 @@
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 			scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: 4, Owned: true, Usable: true, ColdRate: 10}})
 			for range 100 {
-				told := forecast{kept: 500, followed: 150}
-				scheduler.pace.learn(told, 100, told.followed+clock.Milliseconds(testCase.keeping)*(told.kept-told.followed), true)
+				told := durationForecast{fixed: 500, varying: 150}
+				scheduler.slowdownModel.learn(told, 100, told.varying+clock.Milliseconds(testCase.keeping)*(told.fixed-told.varying), true)
 			}
 			manual.Advance(clock.Second)
 			reading := func(slowdown float64, steady clock.Milliseconds) LoadReading {
@@ -102,7 +102,7 @@
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
 	share := 1.0
-	known := &candidate{Target: &Target{Name: "one"}, offer: TargetConfig{Slots: 4, Owned: true, Usable: true}, coldShare: &share}
+	known := &candidate{Target: &Target{Name: "one"}, config: TargetConfig{Slots: 4, Owned: true, Usable: true}, coldShare: &share}
 	known.observe(LoadReading{At: manual.Now(), Slowdown: 1, SteadyFor: 20, Period: 150, ColdKnown: true})
 	require.False(t, known.slow(manual.Now()))
 	require.True(t, known.slow(manual.Now().Add(25)))
--- a/internal/service/placing.go
+++ b/internal/service/placing.go
@@ -3,42 +3,42 @@
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
 // TryAcquire takes a place for a second copy of a request, if one is free on another target that is fast.
-func (scheduler *Scheduler) TryAcquire(demand Demand) (Place, bool) {
+func (scheduler *Scheduler) TryAcquire(permitRequest Demand) (Place, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	if scheduler.waiting.length > 0 || !scheduler.mayStartLate(now) {
 		return Place{}, false
 	}
-	expected := scheduler.expect(demand.Class)
-	best, finish := scheduler.best(now, expected, demand.Tried, false)
-	if best == nil || best.Target == demand.Tried || finish > 2*expected.work {
+	classStats := scheduler.classStatsOf(permitRequest.Class)
+	best, finish := scheduler.best(now, classStats, permitRequest.Tried, false)
+	if best == nil || best.Target == permitRequest.Tried || finish > 2*classStats.serviceTime {
 		return Place{}, false
 	}
-	return scheduler.bind(now, best, expected, rankOf(demand, false)), true
+	return scheduler.bind(now, best, classStats, rankOf(permitRequest, false)), true
 }
 
 // Slow reports whether the request at the place takes long: its target was slow when it started, or has slowed down since where
 // requests follow that; or the target has gone.
-func (place Place) Slow() bool {
-	if place.scheduler == nil {
+func (permit Place) Slow() bool {
+	if permit.scheduler == nil {
 		return false
 	}
-	scheduler := place.scheduler
+	scheduler := permit.scheduler
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	known, found := scheduler.candidates[place.Target.Name]
+	candidate, found := scheduler.candidates[permit.Target.Name]
 	now := scheduler.clock.Now()
-	if !found || known.down || known.stale(now) {
+	if !found || candidate.down || candidate.stale(now) {
 		return true
 	}
-	if known.slowdownIn(place.since) >= slowFrom {
+	if candidate.recordedSlowdown(permit.since) >= slowThreshold {
 		return true
 	}
-	return scheduler.mayFollow(now) && known.slowdownAt(now, 1) >= slowFrom
+	return scheduler.slowdownMayVary(now) && candidate.expectedSlowdown(now, 1) >= slowThreshold
 }
 
-func (scheduler *Scheduler) takeNow(now clock.Moment, waiter *rankedWaiter) (Place, bool) {
+func (scheduler *Scheduler) acquireNow(now clock.Moment, waiter *rankedWaiter) (Place, bool) {
 	if waiter.late() && !scheduler.mayStartLate(now) {
 		return Place{}, false
 	}
@@ -50,70 +50,70 @@
 }
 
 // bind takes a place on the chosen target.
-func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, expected *expectation, rank rank) Place {
+func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, classStats *classStats, rank rank) Place {
 	cold := chosen.cold(now)
 	if cold {
 		chosen.tokens--
 	}
-	scheduler.own++
-	scheduler.started.count(rank)
-	taken := chosen.own + 1 + chosen.others(now)
-	var tried *slotClass
-	if room := chosen.slotClass; taken > room.room {
-		tried = room
-		tried.trials++
+	scheduler.ownInFlight++
+	scheduler.startShares.count(rank)
+	inFlight := chosen.ownInFlight + 1 + chosen.othersInFlight(now)
+	var explored *slotClass
+	if slotClass := chosen.slotClass; inFlight > slotClass.concurrencyLimit {
+		explored = slotClass
+		explored.explorations++
 	}
-	started := scheduler.newFlight()
-	chosen.takeOff(started, taken)
+	activeRequest := scheduler.newActiveRequest()
+	chosen.startRequest(activeRequest, inFlight)
 	if cold {
-		scheduler.file(now, chosen)
+		scheduler.reindex(now, chosen)
 	} else {
-		scheduler.fileTaken(now, chosen)
+		scheduler.reindexInFlight(now, chosen)
 	}
 	return Place{
-		flight: started, tried: tried,
-		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: expected,
-		Taken: taken, Listed: scheduler.usable, since: now,
-		fast:    !cold && chosen.slowdownAt(now, scheduler.meanSlowdown) < slowFrom,
+		flight: activeRequest, tried: explored,
+		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: classStats,
+		Taken: inFlight, Listed: scheduler.usableCount, since: now,
+		fast:    !cold && chosen.expectedSlowdown(now, scheduler.meanSlowdown) < slowThreshold,
 		Reading: chosen.reading,
 	}
 }
 
 // newFlight returns a record for a request, one of an ended request if there is any.
-func (scheduler *Scheduler) newFlight() *flight {
-	last := len(scheduler.flights) - 1
+func (scheduler *Scheduler) newActiveRequest() *activeRequest {
+	last := len(scheduler.freeActiveRequests) - 1
 	if last < 0 {
-		return &flight{}
+		return &activeRequest{}
 	}
-	ended := scheduler.flights[last]
-	scheduler.flights = scheduler.flights[:last]
-	return ended
+	activeRequest := scheduler.freeActiveRequests[last]
+	scheduler.freeActiveRequests = scheduler.freeActiveRequests[:last]
+	return activeRequest
 }
 
 // release gives a place back and learns from how the request ended.
-func (scheduler *Scheduler) release(place Place, result Result) {
+func (scheduler *Scheduler) release(permit Place, result Result) {
 	now := scheduler.clock.Now()
-	held := now.Since(place.since)
+	held := now.Since(permit.since)
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	known := place.candidate.land(place.flight)
-	scheduler.own--
-	scheduler.learnPace(now, place, held, result == Succeeded)
-	if place.tried != nil {
-		place.tried.trials--
+	recorded := permit.candidate.endRequest(permit.flight)
+	scheduler.ownInFlight--
+	scheduler.learnSlowdownModel(now, permit, held, result == Succeeded)
+	if permit.tried != nil {
+		permit.tried.explorations--
 	}
 	scheduler.meanHold += averageWeight * (held - scheduler.meanHold)
 	switch result {
 	case Succeeded:
-		place.candidate.succeed()
-		scheduler.learn(place, held)
+		permit.candidate.recordSuccess()
+		scheduler.learnServiceTime(permit, held)
 	case Failed:
-		place.candidate.fail(now)
+		permit.candidate.recordFailure(now)
 	case Cancelled:
 	}
-	scheduler.fileEnded(now, place.candidate, result)
-	if known {
-		scheduler.flights = append(scheduler.flights, place.flight)
+	scheduler.reindexAfterRequest(now, permit.candidate, result)
+	if recorded {
+		scheduler.freeActiveRequests = append(scheduler.freeActiveRequests, permit.flight)
 	}
 	scheduler.serveWaiting(now)
 }
--- a/internal/service/prediction.go
+++ b/internal/service/prediction.go
@@ -11,52 +11,52 @@
 
 // prediction is what the predictions for one request have in common.
 type prediction struct {
-	now      clock.Moment
-	expected *expectation
+	now        clock.Moment
+	classStats *classStats
 	// keeping is the weight of the assumption that a request keeps the pace at which it starts.
-	keeping    clock.Milliseconds
-	mean       float64
-	overSpells float64
+	fixedWeight     clock.Milliseconds
+	meanSlowdown    float64
+	longRunSlowdown float64
 }
 
 // predict prepares predictions for a request of the given expectation.
-func (scheduler *Scheduler) predict(now clock.Moment, expected *expectation) prediction {
+func (scheduler *Scheduler) predict(now clock.Moment, classStats *classStats) prediction {
 	return prediction{
-		now: now, expected: expected,
-		keeping: clock.Milliseconds(scheduler.pace.keeping()), mean: scheduler.meanSlowdown, overSpells: scheduler.overSpells(),
+		now: now, classStats: classStats,
+		fixedWeight: clock.Milliseconds(scheduler.slowdownModel.fixedWeight()), meanSlowdown: scheduler.meanSlowdown, longRunSlowdown: scheduler.longRunSlowdown(),
 	}
 }
 
 // finishOn predicts how long a usual and a long request take on the target.
 func (prediction *prediction) finishOn(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
-	outlook := candidate.outlookAt(prediction.now, prediction.mean)
-	return prediction.finish(&outlook, candidate.sharedBy(candidate.own+candidate.others(prediction.now), candidate.room()))
+	slowdownForecast := candidate.forecastSlowdown(prediction.now, prediction.meanSlowdown)
+	return prediction.finish(&slowdownForecast, candidate.loadPenalty(candidate.ownInFlight+candidate.othersInFlight(prediction.now), candidate.concurrencyLimit()))
 }
 
 // finishAsFiled predicts the same from what was found when the target was filed.
-func (prediction *prediction) finishAsFiled(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
-	filing := &candidate.filing
-	if filing.outlook.until < prediction.now {
+func (prediction *prediction) finishAsIndexed(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
+	indexEntry := &candidate.indexEntry
+	if indexEntry.forecast.until < prediction.now {
 		return prediction.finishOn(candidate)
 	}
-	return prediction.finish(&filing.outlook, filing.shared)
+	return prediction.finish(&indexEntry.forecast, indexEntry.loadPenalty)
 }
 
-func (prediction *prediction) finish(outlook *outlook, sharedBy float64) (clock.Milliseconds, clock.Milliseconds) {
-	work := prediction.expected.work
-	shared := work * clock.Milliseconds(sharedBy)
-	usual := outlook.forecast(prediction.now, work, prediction.overSpells)
-	long := outlook.forecast(prediction.now, work*longTimes, prediction.overSpells)
-	return usual.expected(prediction.keeping) + shared, long.expected(prediction.keeping) + shared
+func (prediction *prediction) finish(slowdownForecast *slowdownForecast, loadPenalty float64) (clock.Milliseconds, clock.Milliseconds) {
+	serviceTime := prediction.classStats.serviceTime
+	penalty := serviceTime * clock.Milliseconds(loadPenalty)
+	usual := slowdownForecast.duration(prediction.now, serviceTime, prediction.longRunSlowdown)
+	long := slowdownForecast.duration(prediction.now, serviceTime*longRequestFactor, prediction.longRunSlowdown)
+	return usual.weighted(prediction.fixedWeight) + penalty, long.weighted(prediction.fixedWeight) + penalty
 }
 
 // sharedBy is how many times the usual work a request takes longer for those beside it and for failures.
-func (candidate *candidate) sharedBy(taken, room int) float64 {
-	return concurrencyCost*float64(taken)/float64(room) + failureCosts*candidate.failRate
+func (candidate *candidate) loadPenalty(inFlight, limit int) float64 {
+	return concurrencyCost*float64(inFlight)/float64(limit) + failureCost*candidate.failureRate
 }
 
 // outlook is how slow a target is expected to be.
-type outlook struct {
+type slowdownForecast struct {
 	// slowdown is what it is until it may change.
 	slowdown clock.Milliseconds
 	until    clock.Moment
@@ -64,30 +64,30 @@
 }
 
 // outlookAt is what to expect of the target, with mean what readings of warm targets say on average.
-func (candidate *candidate) outlookAt(now clock.Moment, mean float64) outlook {
-	outlook := outlook{slowdown: clock.Milliseconds(candidate.slowdownAt(now, mean)), until: never}
-	if candidate.cadence.period > 0 {
-		outlook.until = now.Add(candidate.cadence.until(now))
-		outlook.cold = candidate.cold(now)
+func (candidate *candidate) forecastSlowdown(now clock.Moment, meanSlowdown float64) slowdownForecast {
+	slowdownForecast := slowdownForecast{slowdown: clock.Milliseconds(candidate.expectedSlowdown(now, meanSlowdown)), until: never}
+	if candidate.slowdownCycle.period > 0 {
+		slowdownForecast.until = now.Add(candidate.slowdownCycle.untilBoundary(now))
+		slowdownForecast.cold = candidate.cold(now)
 	}
-	return outlook
+	return slowdownForecast
 }
 
 // forecast predicts how long work of the given usual length takes if it starts now, with overSpells how many times longer than usual it
 // takes over many spells.
-func (outlook *outlook) forecast(now clock.Moment, work clock.Milliseconds, overSpells float64) forecast {
-	told := forecast{kept: work * outlook.slowdown}
-	told.followed = told.kept
-	if steady := outlook.until.Since(now); told.kept > steady {
-		if outlook.cold {
-			overSpells *= coldSlowdown
+func (slowdownForecast *slowdownForecast) duration(now clock.Moment, serviceTime clock.Milliseconds, longRunSlowdown float64) durationForecast {
+	forecast := durationForecast{fixed: serviceTime * slowdownForecast.slowdown}
+	forecast.varying = forecast.fixed
+	if steady := slowdownForecast.until.Since(now); forecast.fixed > steady {
+		if slowdownForecast.cold {
+			longRunSlowdown *= coldSlowdown
 		}
-		told.followed = steady + (work-steady/outlook.slowdown)*clock.Milliseconds(overSpells)
+		forecast.varying = steady + (serviceTime-steady/slowdownForecast.slowdown)*clock.Milliseconds(longRunSlowdown)
 	}
-	return told
+	return forecast
 }
 
 // expected weighs the assumptions.
-func (forecast forecast) expected(keeping clock.Milliseconds) clock.Milliseconds {
-	return forecast.followed + keeping*(forecast.kept-forecast.followed)
+func (durationForecast durationForecast) weighted(fixedWeight clock.Milliseconds) clock.Milliseconds {
+	return durationForecast.varying + fixedWeight*(durationForecast.fixed-durationForecast.varying)
 }
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -32,7 +32,7 @@
 type rankedWaiter struct {
 	demand Demand
 	// expected is what is known of its class.
-	expected *expectation
+	expected *classStats
 	since    clock.Moment
 	until    clock.Moment
 	// latest is when it must start to be in time.
--- a/internal/service/reading.go
+++ b/internal/service/reading.go
@@ -27,28 +27,28 @@
 // Spells of slowness. A target shares its machine with others, so that its work slows down several times over for a
 // spell of some 150 ms and is back to usual just as suddenly. A reading therefore loses its worth over one spell; once
 // it is older, the mean over all targets says more. The length counts until a service's own period is known.
-const spellLength = 150 * clock.Millisecond
+const defaultSlowdownPeriod = 150 * clock.Millisecond
 
 // coldSlowdown is how many times longer work takes on a target that is cold.
 const coldSlowdown = 2.0
 
 // slowdownAt is the slowdown to expect at now, with mean what readings of warm targets say on average. What a target tells
 // of itself includes that it is cold, so only what is expected without a reading is raised for it.
-func (candidate *candidate) slowdownAt(now clock.Moment, mean float64) float64 {
+func (candidate *candidate) expectedSlowdown(now clock.Moment, meanSlowdown float64) float64 {
 	if candidate.cold(now) {
-		mean *= coldSlowdown
+		meanSlowdown *= coldSlowdown
 	}
 	reading := &candidate.reading
 	age := now.Since(reading.At)
-	if !candidate.read || age >= spellLength && candidate.cadence.period == 0 || reading.Slowdown <= 0 {
-		return mean
+	if !candidate.hasReading || age >= defaultSlowdownPeriod && candidate.slowdownCycle.period == 0 || reading.Slowdown <= 0 {
+		return meanSlowdown
 	}
-	if candidate.cadence.period > 0 {
-		if candidate.cadence.spell(reading.At) == candidate.cadence.spell(now) {
+	if candidate.slowdownCycle.period > 0 {
+		if candidate.slowdownCycle.intervalAt(reading.At) == candidate.slowdownCycle.intervalAt(now) {
 			return reading.Slowdown
 		}
-		return mean
+		return meanSlowdown
 	}
-	fresh := 1 - float64(age/spellLength)
-	return fresh*reading.Slowdown + (1-fresh)*mean
+	fresh := 1 - float64(age/defaultSlowdownPeriod)
+	return fresh*reading.Slowdown + (1-fresh)*meanSlowdown
 }
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -39,154 +39,154 @@
 type Scheduler struct {
 	clock *clock.Clock
 
-	mutex      sync.Mutex
-	random     *rand.Rand
-	candidates map[settings.TargetName]*candidate
-	ordered    []*candidate
-	usable     int
-	waiting    rankedQueue
+	mutex       sync.Mutex
+	random      *rand.Rand
+	candidates  map[settings.TargetName]*candidate
+	ordered     []*candidate
+	usableCount int
+	waiting     rankedQueue
 	// work is the usual time of a request on a fast target, by class; size is the usual length of its answer.
-	work map[settings.ClassName]*expectation
+	classStats map[settings.ClassName]*classStats
 	// meanSlowdown is the average over all readings.
 	meanSlowdown float64
 	// meanSpeed is the average over all readings of the work done in a unit of time, 1 on a fast target.
 	meanSpeed float64
 	// slowAt is when a target last was slow, or might have been: nothing is known at first.
-	slowAt      clock.Moment
-	pace        pace
-	concurrency concurrency
+	lastSlowAt       clock.Moment
+	slowdownModel    slowdownModel
+	concurrencyModel concurrencyModel
 	// own is the number of places taken, meanHold how long one is taken.
-	own      int
+	ownInFlight int
 	meanHold clock.Milliseconds
 	// coldShare is the part of what cold targets bear that this instance may use.
 	coldShare float64
 	// lastTake is when a request last asked for a place.
-	lastTake clock.Moment
-	started  startShares
+	lastAcquire clock.Moment
+	startShares startShares
 	// open lists targets that are open, changes is when time changes how they are filed, compared is used again by each choice.
-	open     openTargets
-	changes  timerQueue[candidate]
-	compared []*candidate
+	available     availableTargets
+	reindexTimers timerQueue[candidate]
+	compareBuffer []*candidate
 	// flights are the records of ended requests, for those to come.
-	flights []*flight
+	freeActiveRequests []*activeRequest
 	// period is the time between changes of slowness, 0 until it is known; nextSearch is when it is looked for again.
-	period     clock.Milliseconds
-	nextSearch clock.Moment
+	slowdownPeriod   clock.Milliseconds
+	nextPeriodSearch clock.Moment
 }
 
 // First guesses, until requests have told better.
 const (
-	firstWork     = 100 * clock.Millisecond
-	firstSlowdown = 1.5
+	initialServiceTime = 100 * clock.Millisecond
+	initialSlowdown    = 1.5
 )
 
 // NewScheduler returns a Scheduler without targets.
 func NewScheduler(options SchedulerOptions) *Scheduler {
 	return &Scheduler{
-		slowAt: options.Clock.Now(),
-		clock:  options.Clock, random: options.Rand, candidates: map[settings.TargetName]*candidate{},
-		work: map[settings.ClassName]*expectation{}, meanSlowdown: firstSlowdown, meanSpeed: 1 / firstSlowdown, meanHold: firstWork, coldShare: 1,
+		lastSlowAt: options.Clock.Now(),
+		clock:      options.Clock, random: options.Rand, candidates: map[settings.TargetName]*candidate{},
+		classStats: map[settings.ClassName]*classStats{}, meanSlowdown: initialSlowdown, meanSpeed: 1 / initialSlowdown, meanHold: initialServiceTime, coldShare: 1,
 	}
 }
 
 // SetTargets replaces what the control goroutine says of targets. Targets that are no longer offered are forgotten, but
 // for the count of what is in flight on them.
-func (scheduler *Scheduler) SetTargets(offers []TargetConfig) {
+func (scheduler *Scheduler) SetTargets(configs []TargetConfig) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	now := scheduler.clock.Now()
-	kept := make(map[settings.TargetName]bool, len(offers))
-	scheduler.usable = 0
-	for index := range offers {
-		kept[offers[index].Name] = true
-		scheduler.setOffer(now, offers[index])
-		if offers[index].Usable {
-			scheduler.usable++
+	kept := make(map[settings.TargetName]bool, len(configs))
+	scheduler.usableCount = 0
+	for index := range configs {
+		kept[configs[index].Name] = true
+		scheduler.setTarget(now, configs[index])
+		if configs[index].Usable {
+			scheduler.usableCount++
 		}
 	}
 	remaining := scheduler.ordered[:0]
-	for _, known := range scheduler.ordered {
-		if !kept[known.Name] {
-			known.offer.Usable = false
+	for _, candidate := range scheduler.ordered {
+		if !kept[candidate.Name] {
+			candidate.config.Usable = false
 			// A target that comes back while requests are in flight on it keeps their count: a fresh record would start
 			// at zero, and one that is cold again would be given more than it bears.
-			if known.own == 0 {
-				scheduler.unfile(known)
-				delete(scheduler.candidates, known.Name)
+			if candidate.ownInFlight == 0 {
+				scheduler.removeFromIndex(candidate)
+				delete(scheduler.candidates, candidate.Name)
 				continue
 			}
 		}
-		remaining = append(remaining, known)
+		remaining = append(remaining, candidate)
 	}
 	clear(scheduler.ordered[len(remaining):])
 	scheduler.ordered = remaining
-	scheduler.fileAll(now)
-	if scheduler.usable == 0 {
+	scheduler.reindexAll(now)
+	if scheduler.usableCount == 0 {
 		scheduler.refuseAll(ErrNoTarget)
 	}
 	scheduler.serveWaiting(now)
 }
 
-func (scheduler *Scheduler) setOffer(now clock.Moment, offer TargetConfig) {
-	known, found := scheduler.candidates[offer.Name]
+func (scheduler *Scheduler) setTarget(now clock.Moment, config TargetConfig) {
+	existing, found := scheduler.candidates[config.Name]
 	if !found {
-		known = &candidate{
-			Target: &Target{Name: offer.Name, Address: offer.Address, DataCentre: offer.DataCentre}, tokensAt: now, learningFrom: now,
-			coldShare: &scheduler.coldShare, concurrency: &scheduler.concurrency,
+		existing = &candidate{
+			Target: &Target{Name: config.Name, Address: config.Address, DataCentre: config.DataCentre}, tokensAt: now, learningSince: now,
+			coldShare: &scheduler.coldShare, concurrencyModel: &scheduler.concurrencyModel,
 		}
-		known.filing.entry = levelEntry[candidate]{item: known, level: unlisted}
-		known.filing.change.item = known
-		scheduler.candidates[offer.Name] = known
-		scheduler.ordered = append(scheduler.ordered, known)
+		existing.indexEntry.bucketEntry = bucketEntry[candidate]{item: existing, bucket: unlisted}
+		existing.indexEntry.reindexTimer.item = existing
+		scheduler.candidates[config.Name] = existing
+		scheduler.ordered = append(scheduler.ordered, existing)
 	}
-	if offer.Owned && !known.offer.Owned && found {
-		known.ownedFrom = now.Add(takeoverWait)
+	if config.Owned && !existing.config.Owned && found {
+		existing.ownedFrom = now.Add(takeoverWait)
 	}
-	if !found || known.offer.Started != offer.Started {
-		known.coldUntil = now.Add(offer.ColdFor)
-		known.read = false
+	if !found || existing.config.Started != config.Started {
+		existing.coldUntil = now.Add(config.ColdFor)
+		existing.hasReading = false
 	}
-	known.refill(now)
-	known.offer = offer
-	known.slotClass = known.concurrency.of(offer.Slots)
-	if known.Address != offer.Address || known.DataCentre != offer.DataCentre {
-		known.Target = &Target{Name: offer.Name, Address: offer.Address, DataCentre: offer.DataCentre}
+	existing.refill(now)
+	existing.config = config
+	existing.slotClass = existing.concurrencyModel.classOf(config.Slots)
+	if existing.Address != config.Address || existing.DataCentre != config.DataCentre {
+		existing.Target = &Target{Name: config.Name, Address: config.Address, DataCentre: config.DataCentre}
 	}
 }
 
 // A service is busy when the part busyFrom of its room is taken. Other instances then need to know what is in flight on this one's
 // targets more often than its slowness changes: every busyLook.
 const (
-	busyFrom = 0.4
-	busyLook = 60 * clock.Millisecond
+	busyShare         = 0.4
+	busyProbeInterval = 60 * clock.Millisecond
 )
 
 // silentLook is the pause between probes of a target that doesn't tell its load: a probe tells only that it is there, and whether it
 // is cold.
-const silentLook = 500 * clock.Millisecond
+const nonReportingProbeInterval = 500 * clock.Millisecond
 
 // A target is probed densely for learnFor to learn its cadence, and for relearnFor when its phase was lost: the period is
 // known then. When there is none to be learnt, that is tried again after learnAgain.
 const (
-	relearnFor = 1500 * clock.Millisecond
-	learnFor   = 6 * clock.Second
-	learnAgain = 30 * clock.Second
+	relearnDuration    = 1500 * clock.Millisecond
+	learnDuration      = 6 * clock.Second
+	learnRetryInterval = 30 * clock.Second
 )
 
 // SetDown notes whether probes find nobody at the target.
 func (scheduler *Scheduler) SetDown(name settings.TargetName, down bool) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	known, found := scheduler.candidates[name]
-	if !found || known.down == down {
+	candidate, found := scheduler.candidates[name]
+	if !found || candidate.down == down {
 		return
 	}
-	known.down = down
+	candidate.down = down
 	if !down {
-		known.inARow = 0
-		known.avoidUntil = 0
+		candidate.consecutiveFailures = 0
+		candidate.backoffUntil = 0
 	}
-	scheduler.file(scheduler.clock.Now(), known)
+	scheduler.reindex(scheduler.clock.Now(), candidate)
 }
 
 // SetColdShare changes the part of what cold targets bear that this instance may use, from 0 to 1.
@@ -197,37 +197,37 @@
 		return
 	}
 	now := scheduler.clock.Now()
-	for _, known := range scheduler.ordered {
-		known.refill(now)
+	for _, candidate := range scheduler.ordered {
+		candidate.refill(now)
 	}
 	scheduler.coldShare = share
-	scheduler.fileAll(now)
+	scheduler.reindexAll(now)
 }
 
 // DiscardReadings drops all readings: after this process stood still, nothing that it knew is worth anything.
 func (scheduler *Scheduler) DiscardReadings() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	for _, known := range scheduler.ordered {
-		known.read = false
+	for _, candidate := range scheduler.ordered {
+		candidate.hasReading = false
 	}
-	scheduler.fileAll(scheduler.clock.Now())
+	scheduler.reindexAll(scheduler.clock.Now())
 }
 
 // Busy reports whether a request asked for a place within the given time.
 func (scheduler *Scheduler) Busy(within clock.Milliseconds) bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	return scheduler.lastTake > 0 && scheduler.clock.Now().Since(scheduler.lastTake) < within
+	return scheduler.lastAcquire > 0 && scheduler.clock.Now().Since(scheduler.lastAcquire) < within
 }
 
 // Acquire waits for a place. The error is a *RefusedError, or the context's.
-func (scheduler *Scheduler) Acquire(ctx context.Context, demand Demand) (Place, error) {
-	place, ticket, err := scheduler.Enter(demand)
-	if ticket == nil {
-		return place, err
+func (scheduler *Scheduler) Acquire(ctx context.Context, permitRequest Demand) (Place, error) {
+	permit, pendingPermit, err := scheduler.Enter(permitRequest)
+	if pendingPermit == nil {
+		return permit, err
 	}
-	return ticket.wait(ctx)
+	return pendingPermit.wait(ctx)
 }
 
 // Sweep serves requests whose reason for waiting has passed: they may now go to a slow target, or a cold one can take
@@ -245,14 +245,14 @@
 	}
 	scheduler.demote(now)
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
-		place, found := scheduler.takeNow(now, waiter)
+		permit, found := scheduler.acquireNow(now, waiter)
 		if !found {
 			// One that shuns its earlier target or a slow one must not keep the others; but when nothing at all is
 			// free there is no use in asking for each.
-			return scheduler.anyOpen(now)
+			return scheduler.anyFastAvailable(now)
 		}
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{place: place}
+		waiter.done <- scheduledGrant{place: permit}
 		return true
 	})
 }
@@ -271,19 +271,19 @@
 	defer scheduler.mutex.Unlock()
 	now := scheduler.clock.Now()
 	states := make([]TargetState, 0, len(scheduler.ordered))
-	for _, known := range scheduler.ordered {
+	for _, candidate := range scheduler.ordered {
 		states = append(states, TargetState{
-			Name: known.Name, Address: known.Address, DataCentre: known.DataCentre, Own: known.own,
-			Others: known.others(now), Limit: known.room(), Failures: known.inARow,
+			Name: candidate.Name, Address: candidate.Address, DataCentre: candidate.DataCentre, Own: candidate.ownInFlight,
+			Others: candidate.othersInFlight(now), Limit: candidate.concurrencyLimit(), Failures: candidate.consecutiveFailures,
 		})
 	}
 	return states, scheduler.waiting.length
 }
 
 // LoadReadingAge is how old the reading was on which the choice rested, 0 when there was none.
-func (place Place) LoadReadingAge(now clock.Moment) clock.Milliseconds {
-	if place.Reading.At == 0 {
+func (permit Place) LoadReadingAge(now clock.Moment) clock.Milliseconds {
+	if permit.Reading.At == 0 {
 		return 0
 	}
-	return now.Since(place.Reading.At)
+	return now.Since(permit.Reading.At)
 }
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -13,39 +13,39 @@
 // benchFleet is a scheduler with targets of which a quarter is slow at any moment. A third of them is its own, and half of them lies in
 // its data centre.
 type benchFleet struct {
-	scheduler *Scheduler
-	random    *rand.Rand
-	now       atomic.Int64
-	names     []settings.TargetName
-	nextTold  int
-	held      []Place
-	waiting   []*Ticket
+	scheduler      *Scheduler
+	random         *rand.Rand
+	now            atomic.Int64
+	names          []settings.TargetName
+	nextReporting  int
+	permits        []Place
+	pendingPermits []*Ticket
 }
 
 const (
 	benchPeriod = 150 * clock.Millisecond
 	benchSlots  = 4
 	// benchHeld is how long a request seems to have been under way when it ends.
-	benchHeld = 100 * clock.Millisecond
+	benchRequestDuration = 100 * clock.Millisecond
 	// benchStep is the time between two requests, in nanoseconds.
 	benchStep = 20_000
 	// benchTell is the number of requests after which those targets tell whose slowness may have changed meanwhile.
-	benchTell = 200
+	benchReportEvery = 200
 )
 
 func newBenchFleet(targets int) *benchFleet {
 	fleet := &benchFleet{random: rand.New(rand.NewPCG(3, 3))}
 	fleet.now.Store(60_000_000_000)
 	fleet.scheduler = NewScheduler(SchedulerOptions{Clock: &clock.Clock{Now: fleet.moment}, Rand: rand.New(rand.NewPCG(1, 1))})
-	offers := make([]TargetConfig, 0, targets)
+	configs := make([]TargetConfig, 0, targets)
 	for number := range targets {
 		name := settings.TargetName(fmt.Sprintf("target-%d", number))
 		fleet.names = append(fleet.names, name)
-		offers = append(offers, TargetConfig{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
+		configs = append(configs, TargetConfig{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
 	}
-	fleet.scheduler.SetTargets(offers)
+	fleet.scheduler.SetTargets(configs)
 	for range fleet.names {
-		fleet.tell()
+		fleet.report()
 	}
 	return fleet
 }
@@ -55,24 +55,24 @@
 }
 
 // tell has the next target tell how it is until its next change.
-func (fleet *benchFleet) tell() {
+func (fleet *benchFleet) report() {
 	slowdown := 1.0
 	if fleet.random.IntN(4) == 0 {
 		slowdown = 5
 	}
-	name := fleet.names[fleet.nextTold]
-	running := fleet.scheduler.candidates[name].own
+	name := fleet.names[fleet.nextReporting]
+	running := fleet.scheduler.candidates[name].ownInFlight
 	fleet.scheduler.Observe(name, LoadReading{
 		At: fleet.moment(), Running: running, Slots: benchSlots, Slowdown: slowdown, SteadyFor: benchPeriod - 10, Period: benchPeriod, ColdKnown: true,
 	})
-	fleet.nextTold = (fleet.nextTold + 1) % len(fleet.names)
+	fleet.nextReporting = (fleet.nextReporting + 1) % len(fleet.names)
 }
 
 // tellDue has those targets tell that do so within the time of benchTell requests.
-func (fleet *benchFleet) tellDue() {
-	passed := clock.Milliseconds(benchTell) * benchStep / 1e6
+func (fleet *benchFleet) reportDue() {
+	passed := clock.Milliseconds(benchReportEvery) * benchStep / 1e6
 	for range int(float64(len(fleet.names))*float64(passed/benchPeriod) + 1) {
-		fleet.tell()
+		fleet.report()
 	}
 }
 
@@ -84,50 +84,50 @@
 // fill takes the given part of what fits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-		if ticket != nil || err != nil {
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+		if pendingPermit != nil || err != nil {
 			b.Fatal("no place")
 		}
-		fleet.held = append(fleet.held, place)
+		fleet.permits = append(fleet.permits, permit)
 	}
 }
 
 // overfill takes all places, and has 500 requests wait.
 func (fleet *benchFleet) overfill(b *testing.B) {
-	for len(fleet.waiting) < 500 {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+	for len(fleet.pendingPermits) < 500 {
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
 		switch {
 		case err != nil:
 			b.Fatal(err)
-		case ticket != nil:
-			fleet.waiting = append(fleet.waiting, ticket)
+		case pendingPermit != nil:
+			fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
 		default:
-			fleet.held = append(fleet.held, place)
+			fleet.permits = append(fleet.permits, permit)
 		}
 	}
 }
 
 // collect takes over the places of requests that waited for them.
 func (fleet *benchFleet) collect() {
-	for len(fleet.waiting) > 0 {
-		place, found, err := fleet.waiting[0].Poll()
+	for len(fleet.pendingPermits) > 0 {
+		permit, found, err := fleet.pendingPermits[0].Poll()
 		if !found {
 			return
 		}
 		if err == nil {
-			fleet.held = append(fleet.held, place)
+			fleet.permits = append(fleet.permits, permit)
 		}
-		fleet.waiting = fleet.waiting[1:]
+		fleet.pendingPermits = fleet.pendingPermits[1:]
 	}
 }
 
 // release gives any place back.
 func (fleet *benchFleet) release() {
-	position := fleet.random.IntN(len(fleet.held))
-	last := len(fleet.held) - 1
-	fleet.held[position], fleet.held[last] = fleet.held[last], fleet.held[position]
-	fleet.held[last].Release(Cancelled)
-	fleet.held = fleet.held[:last]
+	position := fleet.random.IntN(len(fleet.permits))
+	last := len(fleet.permits) - 1
+	fleet.permits[position], fleet.permits[last] = fleet.permits[last], fleet.permits[position]
+	fleet.permits[last].Release(Cancelled)
+	fleet.permits = fleet.permits[:last]
 }
 
 // BenchmarkSchedulerChoice measures a request's entry and its release. Calm: 0.4 of what fits is in flight, and no request waits.
@@ -140,12 +140,12 @@
 			fleet.fill(b, 0.4)
 			b.ReportAllocs()
 			for count := 1; b.Loop(); count++ {
-				place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-				if ticket != nil || err != nil {
+				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+				if pendingPermit != nil || err != nil {
 					b.Fatal("no place")
 				}
-				place.since = place.since.Add(-benchHeld)
-				place.Release(Succeeded)
+				permit.since = permit.since.Add(-benchRequestDuration)
+				permit.Release(Succeeded)
 				fleet.pause(b, count)
 			}
 		})
@@ -158,13 +158,13 @@
 					fleet.release()
 					fleet.collect()
 				}
-				_, ticket, err := fleet.scheduler.Enter(fleet.demand())
+				_, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
 				if err != nil {
 					b.Fatal(err)
 				}
 				if count%8 < 5 {
-					fleet.waiting = append(fleet.waiting, ticket)
-				} else if _, err = ticket.GiveUp(); err == nil {
+					fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
+				} else if _, err = pendingPermit.GiveUp(); err == nil {
 					b.Fatal("a place for one that gave up")
 				}
 				fleet.pause(b, count)
@@ -176,11 +176,11 @@
 // pause lets time pass, and now and then targets tell how they are, which isn't measured.
 func (fleet *benchFleet) pause(b *testing.B, count int) {
 	fleet.now.Add(benchStep)
-	if count%benchTell != 0 {
+	if count%benchReportEvery != 0 {
 		return
 	}
 	b.StopTimer()
-	fleet.tellDue()
+	fleet.reportDue()
 	fleet.collect()
 	b.StartTimer()
 }
@@ -196,13 +196,13 @@
 			b.ResetTimer()
 			b.RunParallel(func(loop *testing.PB) {
 				for loop.Next() {
-					place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-					if ticket != nil || err != nil {
+					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+					if pendingPermit != nil || err != nil {
 						b.Error("no place")
 						return
 					}
-					place.since = place.since.Add(-benchHeld)
-					place.Release(Succeeded)
+					permit.since = permit.since.Add(-benchRequestDuration)
+					permit.Release(Succeeded)
 				}
 			})
 		})
@@ -219,7 +219,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				fleet.now.Add(step)
-				fleet.tell()
+				fleet.report()
 			}
 		})
 	}
--- a/internal/service/silent_test.go
+++ b/internal/service/silent_test.go
@@ -50,8 +50,8 @@
 func fill(t *testing.T, scheduler *Scheduler) int {
 	now := scheduler.clock.Now()
 	for taken := range 100 {
-		_, ticket, err := scheduler.Enter(Demand{Class: "look", Aim: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
-		if ticket != nil || err != nil {
+		_, pendingPermit, err := scheduler.Enter(Demand{Class: "look", Aim: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
+		if pendingPermit != nil || err != nil {
 			return taken
 		}
 	}
@@ -67,7 +67,7 @@
 		told  LoadReading
 		pause clock.Milliseconds
 	}{
-		{"silent", LoadReading{}, silentLook},
+		{"silent", LoadReading{}, nonReportingProbeInterval},
 		{"telling", LoadReading{Slots: 4, Slowdown: 1}, 30},
 	}
 	for _, testCase := range cases {
--- a/internal/service/spells.go
+++ b/internal/service/spells.go
@@ -3,83 +3,83 @@
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
 // spellsKept is the number of spells that are remembered of each target: those of some seconds, in which nearly all requests end.
-const spellsKept = 32
+const historyLength = 32
 
 // spells remembers how slow a target was in its last spells, so that it can be told afterwards what a request met there.
-type spells struct {
-	kept [spellsKept]spell
-	next int
+type slowdownHistory struct {
+	intervals [historyLength]slowdownInterval
+	next      int
 }
 
 // spell is the time between two moments at which a target's slowness may change.
-type spell struct {
-	from     clock.Moment
+type slowdownInterval struct {
+	start    clock.Moment
 	slowdown float64
 	// inside is how far from either end it was read.
-	inside clock.Milliseconds
+	boundaryDistance clock.Milliseconds
 }
 
 // note takes a reading. Of several in one spell the one furthest from its ends counts: the others may belong to the next one.
-func (spells *spells) note(cadence *cadence, reading LoadReading) {
-	since := cadence.since(reading.At)
-	from := reading.At.Add(-since)
-	inside := min(since, cadence.period-since)
-	if known := spells.find(from, cadence.period); known != nil {
-		if inside >= known.inside {
-			known.slowdown, known.inside = reading.Slowdown, inside
+func (slowdownHistory *slowdownHistory) record(slowdownCycle *slowdownCycle, reading LoadReading) {
+	since := slowdownCycle.sinceBoundary(reading.At)
+	start := reading.At.Add(-since)
+	boundaryDistance := min(since, slowdownCycle.period-since)
+	if interval := slowdownHistory.find(start, slowdownCycle.period); interval != nil {
+		if boundaryDistance >= interval.boundaryDistance {
+			interval.slowdown, interval.boundaryDistance = reading.Slowdown, boundaryDistance
 		}
 		return
 	}
-	spells.kept[spells.next] = spell{from: from, slowdown: reading.Slowdown, inside: inside}
-	spells.next = (spells.next + 1) % spellsKept
+	slowdownHistory.intervals[slowdownHistory.next] = slowdownInterval{start: start, slowdown: reading.Slowdown, boundaryDistance: boundaryDistance}
+	slowdownHistory.next = (slowdownHistory.next + 1) % historyLength
 }
 
 // find returns the spell that began at the given moment, or nil. What is known of the moment moves a little as readings come.
-func (spells *spells) find(from clock.Moment, period clock.Milliseconds) *spell {
-	for back := range spellsKept {
-		known := &spells.kept[(spells.next+spellsKept-1-back)%spellsKept]
-		if apart := known.from.Since(from); known.slowdown > 0 && max(apart, -apart) < period/4 {
-			return known
+func (slowdownHistory *slowdownHistory) find(start clock.Moment, period clock.Milliseconds) *slowdownInterval {
+	for back := range historyLength {
+		interval := &slowdownHistory.intervals[(slowdownHistory.next+historyLength-1-back)%historyLength]
+		if distance := interval.start.Since(start); interval.slowdown > 0 && max(distance, -distance) < period/4 {
+			return interval
 		}
 	}
 	return nil
 }
 
 // slowdownIn is how slow the target was in the spell of the given moment, 0 when that is not known.
-func (candidate *candidate) slowdownIn(at clock.Moment) float64 {
-	if candidate.cadence.period == 0 {
+func (candidate *candidate) recordedSlowdown(at clock.Moment) float64 {
+	if candidate.slowdownCycle.period == 0 {
 		return 0
 	}
-	known := candidate.spells.find(at.Add(-candidate.cadence.since(at)), candidate.cadence.period)
-	if known == nil {
+	interval := candidate.slowdownHistory.find(at.Add(-candidate.slowdownCycle.sinceBoundary(at)), candidate.slowdownCycle.period)
+	if interval == nil {
 		return 0
 	}
-	return known.slowdown
+	return interval.slowdown
 }
 
 // hindsight is what the two assumptions say, now that it is known what a request met. It reports whether that is known in full.
-func (candidate *candidate) hindsight(since, now clock.Moment, work clock.Milliseconds, overSpells float64) (forecast, bool) {
-	first := candidate.slowdownIn(since)
-	if first == 0 || candidate.cadence.nearChange(since) {
-		return forecast{}, false
+func (candidate *candidate) retrospectiveForecast(since, now clock.Moment, serviceTime clock.Milliseconds, longRunSlowdown float64) (durationForecast, bool) {
+	first := candidate.recordedSlowdown(since)
+	if first == 0 || candidate.slowdownCycle.nearBoundary(since) {
+		return durationForecast{}, false
 	}
-	told := forecast{kept: work * clock.Milliseconds(first)}
-	left := work
+	forecast := durationForecast{fixed: serviceTime * clock.Milliseconds(first)}
+	remaining := serviceTime
 	for at := since; at < now; {
-		slowdown := clock.Milliseconds(candidate.slowdownIn(at))
+		slowdown := clock.Milliseconds(candidate.recordedSlowdown(at))
 		if slowdown == 0 {
-			return forecast{}, false
+			return durationForecast{}, false
 		}
 		// A moment past the boundary, so that the next step is in the next spell for certain.
-		length := candidate.cadence.until(at) + clock.Millisecond
-		if left*slowdown <= length {
-			told.followed += left * slowdown
-			return told, true
+		length := candidate.slowdownCycle.untilBoundary(at) + clock.Millisecond
+		if remaining*slowdown <= length {
+			forecast.varying += remaining * slowdown
+			return forecast, true
 		}
-		told.followed += length
-		left -= length / slowdown
+		forecast.varying += length
+		remaining -= length / slowdown
 		at = at.Add(length)
 	}
-	told.followed += left * clock.Milliseconds(overSpells)
-	return told, true
+	forecast.varying += remaining * clock.Milliseconds(longRunSlowdown)
+	return forecast, true
 }
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -40,7 +40,7 @@
 	reported int
 
 	// listing is where it stands among the targets by the share of places taken.
-	listing levelEntry[Target]
+	listing bucketEntry[Target]
 }
 
 // TargetLimit is what the control goroutine decides about a target.
--- a/internal/service/ticket.go
+++ b/internal/service/ticket.go
@@ -20,13 +20,13 @@
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	scheduler.lastTake = now
-	if scheduler.usable == 0 {
+	scheduler.lastAcquire = now
+	if scheduler.usableCount == 0 {
 		return Place{}, nil, &RefusedError{Cause: ErrNoTarget, RetryAfter: comeBackNoTarget}
 	}
 	waiter := scheduler.newWaiter(now, demand)
 	if scheduler.waiting.ahead(waiter.rank) == 0 {
-		if place, found := scheduler.takeNow(now, &waiter); found {
+		if place, found := scheduler.acquireNow(now, &waiter); found {
 			return place, nil, nil
 		}
 	}
--- a/internal/service/upheaval_test.go
+++ b/internal/service/upheaval_test.go
@@ -11,142 +11,142 @@
 )
 
 // upheaval does things at random to a scheduler.
-type upheaval struct {
+type randomWorkload struct {
 	*testing.T
 
-	clock     *clock.Manual
-	random    *rand.Rand
-	scheduler *Scheduler
-	offers    []TargetConfig
-	phases    []clock.Milliseconds
-	steady    bool
-	places    []Place
-	tickets   []*Ticket
+	clock          *clock.Manual
+	random         *rand.Rand
+	scheduler      *Scheduler
+	configs        []TargetConfig
+	phases         []clock.Milliseconds
+	steady         bool
+	permits        []Place
+	pendingPermits []*Ticket
 	// worse is by what part each choice among many costs more than the best one.
-	worse []float64
+	excessCosts []float64
 }
 
-func newUpheaval(t *testing.T, targets int, seed uint64) *upheaval {
+func newRandomWorkload(t *testing.T, targets int, seed uint64) *randomWorkload {
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
-	upheaval := &upheaval{T: t, clock: manual, random: rand.New(rand.NewPCG(seed, 1)), steady: seed%4 != 0}
-	upheaval.scheduler = NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(seed, 2))})
+	randomWorkload := &randomWorkload{T: t, clock: manual, random: rand.New(rand.NewPCG(seed, 1)), steady: seed%4 != 0}
+	randomWorkload.scheduler = NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(seed, 2))})
 	for number := range targets {
-		upheaval.offers = append(upheaval.offers, upheaval.offer(number))
-		upheaval.phases = append(upheaval.phases, clock.Milliseconds(150*upheaval.random.Float64()))
+		randomWorkload.configs = append(randomWorkload.configs, randomWorkload.randomConfig(number))
+		randomWorkload.phases = append(randomWorkload.phases, clock.Milliseconds(150*randomWorkload.random.Float64()))
 	}
-	upheaval.scheduler.SetTargets(upheaval.offers)
-	return upheaval
+	randomWorkload.scheduler.SetTargets(randomWorkload.configs)
+	return randomWorkload
 }
 
-func (upheaval *upheaval) chance(part float64) bool {
-	return upheaval.random.Float64() < part
+func (randomWorkload *randomWorkload) chance(part float64) bool {
+	return randomWorkload.random.Float64() < part
 }
 
-func (upheaval *upheaval) offer(number int) TargetConfig {
+func (randomWorkload *randomWorkload) randomConfig(number int) TargetConfig {
 	return TargetConfig{
-		Name: settings.TargetName(fmt.Sprint(number)), Slots: 2 + 2*(number%3), Local: upheaval.chance(0.5), Owned: upheaval.chance(0.4),
-		Usable: upheaval.chance(0.95), ColdRate: 10, ColdFor: clock.Milliseconds(upheaval.random.IntN(3)) * clock.Second,
-		Started: int64(upheaval.random.IntN(2)),
+		Name: settings.TargetName(fmt.Sprint(number)), Slots: 2 + 2*(number%3), Local: randomWorkload.chance(0.5), Owned: randomWorkload.chance(0.4),
+		Usable: randomWorkload.chance(0.95), ColdRate: 10, ColdFor: clock.Milliseconds(randomWorkload.random.IntN(3)) * clock.Second,
+		Started: int64(randomWorkload.random.IntN(2)),
 	}
 }
 
-func (upheaval *upheaval) observe() {
-	number := upheaval.random.IntN(len(upheaval.offers))
-	now := upheaval.clock.Now()
+func (randomWorkload *randomWorkload) observe() {
+	number := randomWorkload.random.IntN(len(randomWorkload.configs))
+	now := randomWorkload.clock.Now()
 	reading := LoadReading{
-		At: now.Add(-clock.Milliseconds(3 * upheaval.random.Float64())), Running: upheaval.random.IntN(4), Slots: upheaval.offers[number].Slots,
-		Slowdown: []float64{1, 1, 1, 1.3, 5}[upheaval.random.IntN(5)], ColdKnown: upheaval.chance(0.9),
+		At: now.Add(-clock.Milliseconds(3 * randomWorkload.random.Float64())), Running: randomWorkload.random.IntN(4), Slots: randomWorkload.configs[number].Slots,
+		Slowdown: []float64{1, 1, 1, 1.3, 5}[randomWorkload.random.IntN(5)], ColdKnown: randomWorkload.chance(0.9),
 	}
-	if upheaval.chance(0.15) {
+	if randomWorkload.chance(0.15) {
 		reading.ColdFor = clock.Second
 	}
-	if upheaval.steady {
-		cadence := cadence{period: 150, boundary: clock.Moment(upheaval.phases[number])}
-		reading.Period, reading.SteadyFor = 150, cadence.until(reading.At)
+	if randomWorkload.steady {
+		slowdownCycle := slowdownCycle{period: 150, boundary: clock.Moment(randomWorkload.phases[number])}
+		reading.Period, reading.SteadyFor = 150, slowdownCycle.untilBoundary(reading.At)
 	}
 	if number%7 == 0 {
 		reading = LoadReading{At: now, ColdKnown: true}
 	}
-	upheaval.scheduler.Observe(upheaval.offers[number].Name, reading)
+	randomWorkload.scheduler.Observe(randomWorkload.configs[number].Name, reading)
 }
 
-func (upheaval *upheaval) demand() Demand {
-	now := upheaval.clock.Now()
-	demand := Demand{
-		Priority: settings.Priority(upheaval.random.IntN(int(settings.LowestPriority) + 1)),
-		Class:    settings.ClassName([]string{"look", "claim"}[upheaval.random.IntN(2)]),
-		Aim:      now.Add(clock.Milliseconds(upheaval.random.IntN(600))), Deadline: now.Add(1500),
+func (randomWorkload *randomWorkload) demand() Demand {
+	now := randomWorkload.clock.Now()
+	permitRequest := Demand{
+		Priority: settings.Priority(randomWorkload.random.IntN(int(settings.LowestPriority) + 1)),
+		Class:    settings.ClassName([]string{"look", "claim"}[randomWorkload.random.IntN(2)]),
+		Aim:      now.Add(clock.Milliseconds(randomWorkload.random.IntN(600))), Deadline: now.Add(1500),
 	}
-	if upheaval.chance(0.2) {
-		demand.Tried = upheaval.scheduler.ordered[upheaval.random.IntN(len(upheaval.scheduler.ordered))].Target
+	if randomWorkload.chance(0.2) {
+		permitRequest.Tried = randomWorkload.scheduler.ordered[randomWorkload.random.IntN(len(randomWorkload.scheduler.ordered))].Target
 	}
-	return demand
+	return permitRequest
 }
 
-func (upheaval *upheaval) step() {
-	scheduler, random := upheaval.scheduler, upheaval.random
-	upheaval.clock.Advance(clock.Milliseconds(2 * random.ExpFloat64()))
+func (randomWorkload *randomWorkload) step() {
+	scheduler, random := randomWorkload.scheduler, randomWorkload.random
+	randomWorkload.clock.Advance(clock.Milliseconds(2 * random.ExpFloat64()))
 	switch kind := random.IntN(1000); {
 	case kind < 400:
-		upheaval.observe()
+		randomWorkload.observe()
 	case kind < 650:
-		place, ticket, err := scheduler.Enter(upheaval.demand())
-		if ticket != nil {
-			upheaval.tickets = append(upheaval.tickets, ticket)
+		permit, pendingPermit, err := scheduler.Enter(randomWorkload.demand())
+		if pendingPermit != nil {
+			randomWorkload.pendingPermits = append(randomWorkload.pendingPermits, pendingPermit)
 		} else if err == nil {
-			upheaval.places = append(upheaval.places, place)
+			randomWorkload.permits = append(randomWorkload.permits, permit)
 		}
 	case kind < 900:
-		upheaval.release()
+		randomWorkload.release()
 	case kind < 920:
 		scheduler.Sweep()
 	case kind < 940:
-		if place, found := scheduler.TryAcquire(upheaval.demand()); found {
-			upheaval.places = append(upheaval.places, place)
+		if permit, found := scheduler.TryAcquire(randomWorkload.demand()); found {
+			randomWorkload.permits = append(randomWorkload.permits, permit)
 		}
 	case kind < 955:
-		scheduler.SetDown(upheaval.offers[random.IntN(len(upheaval.offers))].Name, upheaval.chance(0.3))
+		scheduler.SetDown(randomWorkload.configs[random.IntN(len(randomWorkload.configs))].Name, randomWorkload.chance(0.3))
 	case kind < 980:
 		scheduler.SetColdShare(float64(random.IntN(5)) / 4)
 	case kind < 990:
-		number := random.IntN(len(upheaval.offers))
-		upheaval.offers[number] = upheaval.offer(number)
-		scheduler.SetTargets(upheaval.offers[:len(upheaval.offers)-random.IntN(2)])
+		number := random.IntN(len(randomWorkload.configs))
+		randomWorkload.configs[number] = randomWorkload.randomConfig(number)
+		scheduler.SetTargets(randomWorkload.configs[:len(randomWorkload.configs)-random.IntN(2)])
 	case kind < 992:
 		scheduler.DiscardReadings()
 	case kind < 996:
-		scheduler.concurrency.learns = !scheduler.concurrency.learns
+		scheduler.concurrencyModel.learning = !scheduler.concurrencyModel.learning
 	default:
-		upheaval.clock.Advance(clock.Milliseconds(2000 * random.Float64()))
+		randomWorkload.clock.Advance(clock.Milliseconds(2000 * random.Float64()))
 	}
-	upheaval.collect()
+	randomWorkload.collect()
 }
 
-func (upheaval *upheaval) release() {
-	if len(upheaval.places) == 0 {
+func (randomWorkload *randomWorkload) release() {
+	if len(randomWorkload.permits) == 0 {
 		return
 	}
-	position := upheaval.random.IntN(len(upheaval.places))
-	if upheaval.chance(0.05) {
-		slotClass := upheaval.places[position].candidate.slotClass
-		slotClass.longer[1+upheaval.random.IntN(len(slotClass.longer)-1)] = 1 + 2*upheaval.random.Float64()
-		slotClass.setRoom()
+	position := randomWorkload.random.IntN(len(randomWorkload.permits))
+	if randomWorkload.chance(0.05) {
+		slotClass := randomWorkload.permits[position].candidate.slotClass
+		slotClass.durationFactors[1+randomWorkload.random.IntN(len(slotClass.durationFactors)-1)] = 1 + 2*randomWorkload.random.Float64()
+		slotClass.updateLimit()
 	}
-	result := []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Cancelled}[upheaval.random.IntN(6)]
-	upheaval.places[position].Release(result)
-	upheaval.places = slices.Delete(upheaval.places, position, position+1)
+	result := []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Cancelled}[randomWorkload.random.IntN(6)]
+	randomWorkload.permits[position].Release(result)
+	randomWorkload.permits = slices.Delete(randomWorkload.permits, position, position+1)
 }
 
-func (upheaval *upheaval) collect() {
-	upheaval.tickets = slices.DeleteFunc(upheaval.tickets, func(ticket *Ticket) bool {
-		place, found, err := ticket.Poll()
-		if !found && upheaval.clock.Now() >= ticket.Until() {
-			place, err = ticket.GiveUp()
+func (randomWorkload *randomWorkload) collect() {
+	randomWorkload.pendingPermits = slices.DeleteFunc(randomWorkload.pendingPermits, func(pendingPermit *Ticket) bool {
+		permit, found, err := pendingPermit.Poll()
+		if !found && randomWorkload.clock.Now() >= pendingPermit.Until() {
+			permit, err = pendingPermit.GiveUp()
 			found = true
 		}
 		if found && err == nil {
-			upheaval.places = append(upheaval.places, place)
+			randomWorkload.permits = append(randomWorkload.permits, permit)
 		}
 		return found
 	})
