--- a/internal/service/acquire.go
+++ b/internal/service/acquire.go
@@ -2,7 +2,7 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// TryAcquire takes a place for a second copy of a request, if one is free on another target that is fast.
+// TryAcquire acquires a permit for a hedged request if one is free on another target that is fast.
 func (scheduler *Scheduler) TryAcquire(permitRequest Demand) (Place, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
@@ -18,8 +18,8 @@
 	return scheduler.bind(now, best, classStats, rankOf(permitRequest, false)), true
 }
 
-// Slow reports whether the request at the place takes long: its target was slow when it started, or has slowed down since where
-// requests follow that; or the target has gone.
+// Slow reports whether the request of the permit is expected to take long: its target was slow when it started, or has
+// become slow and the slowdown of requests may vary with it, or the target is unreachable or removed.
 func (permit Place) Slow() bool {
 	if permit.scheduler == nil {
 		return false
@@ -49,7 +49,7 @@
 	return scheduler.bind(now, chosen, waiter.expected, waiter.rank), true
 }
 
-// bind takes a place on the chosen target.
+// bind acquires a permit on the chosen target.
 func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, classStats *classStats, rank rank) Place {
 	cold := chosen.cold(now)
 	if cold {
@@ -79,7 +79,7 @@
 	}
 }
 
-// newFlight returns a record for a request, one of an ended request if there is any.
+// newActiveRequest returns the record of an ended request for reuse, or a new one.
 func (scheduler *Scheduler) newActiveRequest() *activeRequest {
 	last := len(scheduler.freeActiveRequests) - 1
 	if last < 0 {
@@ -90,7 +90,7 @@
 	return activeRequest
 }
 
-// release gives a place back and learns from how the request ended.
+// release returns a permit and learns from how the request ended.
 func (scheduler *Scheduler) release(permit Place, result Result) {
 	now := scheduler.clock.Now()
 	held := now.Since(permit.since)
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -9,7 +9,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// A target moves to another address while requests are in flight on it; counted from nothing, it would get more than fits.
+// A target moves to another address while requests are in flight on it. If their count started at zero, it would get more
+// requests than it has slots.
 func TestMovedTargetKeepsItsCount(t *testing.T) {
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
@@ -21,9 +22,9 @@
 	require.NoError(t, err)
 	config.Address = "10.0.0.2:80"
 	scheduler.SetTargets([]TargetConfig{config})
-	require.Equal(t, 1, fill(t, scheduler), "one of two places is taken")
+	require.Equal(t, 1, fill(t, scheduler), "one of two permits is in use")
 	permit.Release(Succeeded)
 	targets, waiting := scheduler.State()
-	require.Equal(t, 2, targets[0].Own, "the one that waited has the released place")
+	require.Equal(t, 2, targets[0].Own, "the waiting request has the released permit")
 	require.Zero(t, waiting)
 }
--- a/internal/service/bucketindex.go
+++ b/internal/service/bucketindex.go
@@ -5,22 +5,23 @@
 	"math/rand/v2"
 )
 
-// levelIndex lists items by a level, such as the share of a target's places taken, so that finding the least takes the same time
-// however many there are: one bit a level tells which are not empty, and each list can be changed at any position.
+// bucketIndex lists items by bucket, such as the share of a target's permits in use, so that the lowest item is found in the
+// same time for any number of items: a bit mask marks the buckets that are not empty, and an item can be removed from any
+// position of a bucket.
 type bucketIndex[T any] struct {
 	notEmpty uint64
-	// lists is made when it is first needed.
+	// buckets is allocated on first use.
 	buckets [][]*bucketEntry[T]
 }
 
-// levelEntry is where an item stands in a levelIndex.
+// bucketEntry is the position of an item in a bucketIndex.
 type bucketEntry[T any] struct {
 	item     *T
 	bucket   int
 	position int
 }
 
-// move puts an entry on the list of the given level, or on none.
+// move moves an entry to the given bucket, or removes it if the bucket is unlisted.
 func (bucketIndex *bucketIndex[T]) move(entry *bucketEntry[T], bucket int) {
 	if entry.bucket == bucket {
 		return
@@ -38,7 +39,7 @@
 	bucketIndex.notEmpty |= 1 << bucket
 }
 
-// remove takes an entry off its list.
+// remove removes an entry from its bucket.
 func (bucketIndex *bucketIndex[T]) remove(entry *bucketEntry[T]) {
 	if entry.bucket == unlisted {
 		return
@@ -56,12 +57,12 @@
 	entry.bucket = unlisted
 }
 
-// lowest returns the lowest level at which an item is listed, levels when there is none.
+// lowest returns the lowest bucket that is not empty, or the number of buckets if all are empty.
 func (bucketIndex *bucketIndex[T]) lowest() int {
 	return bits.TrailingZeros64(bucketIndex.notEmpty)
 }
 
-// any returns an item of the lowest level at random, or nil.
+// randomLowest returns a random item of the lowest bucket, or nil.
 func (bucketIndex *bucketIndex[T]) randomLowest(random *rand.Rand) *T {
 	if bucketIndex.notEmpty == 0 {
 		return nil
@@ -73,7 +74,8 @@
 	return list[random.IntN(len(list))].item
 }
 
-// gather appends items of the lowest levels, the given number at most, from a random position on where a list has more of them.
+// collectLowest appends up to limit items of the lowest buckets, starting at a random position in a bucket that has more of
+// them.
 func (bucketIndex *bucketIndex[T]) collectLowest(random *rand.Rand, gathered []*T, limit int) []*T {
 	for remaining := bucketIndex.notEmpty; remaining != 0 && limit > 0; remaining &= remaining - 1 {
 		list := bucketIndex.buckets[bits.TrailingZeros64(remaining)]
@@ -93,10 +95,10 @@
 	return gathered
 }
 
-// least returns an item of the lowest level, at random among equals, passing over one that was tried before as long
-// as there is another. It returns nil when none is listed.
+// pickLowest returns an item of the lowest bucket, random among equals. The item that was tried before is returned only if
+// there is no other. It returns nil if no item is listed.
 //
-// Random among equals matters: with a fixed order all instances, each with the same view, would send their next
+// The choice among equals is random because with a fixed order all instances, each with the same view, would send their next
 // request to the same target.
 func (bucketIndex *bucketIndex[T]) pickLowest(random *rand.Rand, tried *bucketEntry[T]) *T {
 	for remaining := bucketIndex.notEmpty; remaining != 0; remaining &= remaining - 1 {
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -7,107 +7,115 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// TargetConfig is what the control goroutine says of a target that a Scheduler may use.
+// TargetConfig is the configuration of a target that a Scheduler may use.
 type TargetConfig struct {
 	Name       settings.TargetName
 	Address    string
 	DataCentre settings.DataCentreName
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that the target runs at once.
 	Slots int
-	// Local says that it lies in this instance's own data centre.
+	// Local is true if the target is in the data centre of this instance.
 	Local bool
-	// Owned says that this instance answers for it: it alone starts it while it is cold.
+	// Owned is true if this instance is the owner of the target: only the owner sends requests to it while it is cold.
 	Owned bool
-	// Usable is false while the target is leaving or its data centre is out: it keeps its record and gets nothing.
+	// Usable is false while the target is leaving or its data centre is out of service: its record is kept, but it gets no
+	// requests.
 	Usable bool
-	// ColdRate is the number of requests a second that it bears while cold.
+	// ColdRate is the number of requests per second that the target can run while it is cold.
 	ColdRate float64
-	// ColdFor is how long it stays cold, as far as it is known when it is first offered.
+	// ColdFor is the time for which the target stays cold, as known when it is first configured.
 	ColdFor clock.Milliseconds
-	// Started changes when it starts anew under its name.
+	// Started changes when the target restarts under the same name.
 	Started int64
 }
 
-// Failures.
+// Handling of failures.
 const (
-	// firstAvoidance is how long a target is avoided after a first failure; it doubles with each in a row, up to
-	// mostDoublings times: 100 ms to 3.2 s. A target that crashed is back within seconds, one that shed is free sooner.
+	// initialBackoff is the time for which a target is avoided after a first failure. It doubles with each consecutive
+	// failure, up to mostDoublings times: 100 ms to 3.2 s. A crashed target is back within seconds, a target that shed load
+	// is free sooner.
 	initialBackoff = 100 * clock.Millisecond
-	// failureWeight is the weight of one request in the moving average of failures: some ten requests tell a target
-	// that fails a part of them from one that failed once.
+	// failureWeight is the weight of one request in the moving average of failures. About ten requests distinguish a target
+	// that fails a part of its requests from a target that failed once.
 	failureWeight = 0.1
-	// failureCosts is how many times the usual work a failure costs: the time until it is noticed and the attempt that
-	// follows.
+	// failureCost is the cost of a failure as a multiple of the usual service time: the time until the failure is noticed
+	// plus the attempt that follows.
 	failureCost = 3.0
 )
 
-// Room on a target.
+// Concurrency limits and cold targets.
 const (
-	// sharedRoom is the room above which half of it is left to the target's owner. Instances that fill a target without
-	// knowing of each other slotClass it, and all that is on it slows down.
+	// maxUnreservedLimit is the concurrency limit up to which instances that do not own a target may use all of it; of a
+	// larger limit they leave half to the owner. Instances that fill a target without knowing of each other's requests
+	// overload it, and all its requests slow down.
 	maxUnreservedLimit = 2
-	// silentShare is the room on a target that doesn't tell its load which is left to those that don't own it.
+	// nonReportingReserve is the part of the concurrency limit of a non-reporting target that is left to the instances that
+	// do not own it.
 	nonReportingReserve = 1
-	// othersFade is how long what others had in flight on a target is taken to last after a reading.
+	// othersDecayTime is the time after a reading over which the requests that other instances had in flight are assumed to
+	// end.
 	othersDecayTime = clock.Second
-	// staleReading is the age after which a reading tells nothing any more: the target may have become cold or gone.
+	// maxReadingAge is the age from which a reading is stale: the target may have become cold or may be gone.
 	maxReadingAge = 1500 * clock.Millisecond
-	// coldBurst is how many requests may go to a cold target at once.
+	// coldBurst is the number of requests that may be sent to a cold target at once.
 	coldBurst = 1.0
-	// coldMargin is the part of what a cold target bears that is used. While views of the fleet differ two instances may
-	// take a target for theirs, and the two together must not break it.
+	// coldMargin is the used share of the rate that a cold target can run. While the views of the fleet differ, two
+	// instances may both act as owner of a target, and the two together must not overload it.
 	coldMargin = 0.8
-	// takeoverWait is how long a new owner leaves a cold target alone: the owner before may still be sending to it, and an
-	// instance that is cut off finds out how little of the fleet it sees only after 3.2 s, of which 0.9 s have passed when the
-	// servers of another one become its own.
+	// takeoverWait is the time for which a new owner does not send to a cold target, because the previous owner may still
+	// be sending to it. An instance that is cut off becomes the owner of other instances' servers after 0.9 s, but finds
+	// out only after 3.2 s how small a part of the fleet is visible to it.
 	takeoverWait = 2500 * clock.Millisecond
 )
 
-// candidate is one target of a Scheduler. Fields that each choice needs come first.
+// candidate is one target of a Scheduler. The fields that every choice reads come first.
 type candidate struct {
 	indexEntry indexEntry
 
-	// Target is who it is. Traffic reads it without the lock, so it is replaced and never changed.
+	// Target is the identity of the target. It is read without the lock while requests are forwarded, so it is replaced and
+	// never modified.
 	*Target
 
-	// own counts the requests under way from here, flights holds them.
+	// ownInFlight counts the requests that this instance has in flight on the target, activeRequests holds their records.
 	ownInFlight    int
 	activeRequests []*activeRequest
-	// ownAtReading is what this instance itself had in flight there at the reading.
+	// ownAtReading is the value of ownInFlight when the reading arrived.
 	ownAtReading int
-	// coldShare and concurrency are the scheduler's, slotClass is what that knows of targets with as many slots.
+	// coldShare and concurrencyModel belong to the scheduler, slotClass is the part of the model for targets with the same
+	// number of slots.
 	coldShare        *float64
 	concurrencyModel *concurrencyModel
 	slotClass        *slotClass
-	// reading is the newest one, read tells whether there is any.
+	// reading is the newest load reading, hasReading is false if there is none.
 	reading    LoadReading
 	hasReading bool
-	// tells says that it has told its load at least once.
+	// reportsLoad is true once the target has reported its load.
 	reportsLoad bool
-	// down says that probes find nobody there.
+	// down is true while probes fail to reach the target.
 	down bool
-	// coldUntil is when it is warm.
+	// coldUntil is when the target becomes warm.
 	coldUntil clock.Moment
-	// ownedFrom is when this instance may start sending to it while it is cold.
+	// ownedFrom is when this instance may start to send to the target while it is cold.
 	ownedFrom clock.Moment
-	// tokens are the requests that a cold target may get now, filled up at tokensAt.
+	// tokens is the number of requests that a cold target may get now, last refilled at tokensAt.
 	tokens   float64
 	tokensAt clock.Moment
-	// avoidUntil, inARow and failRate follow from failures.
+	// backoffUntil, consecutiveFailures and failureRate are derived from failed requests.
 	backoffUntil        clock.Moment
 	consecutiveFailures int
 	failureRate         float64
 
-	// cadence is when its slowness may change.
+	// slowdownCycle is when the slowdown of the target may change.
 	slowdownCycle slowdownCycle
 	config        TargetConfig
-	// spells is how slow it was of late.
+	// slowdownHistory holds the recent slowdowns of the target.
 	slowdownHistory slowdownHistory
-	// learningFrom is since when it is probed densely to learn that.
+	// learningSince is when the current learning phase of the slowdown cycle started, in which the target is probed at a
+	// high rate.
 	learningSince clock.Moment
 }
 
-// observe takes a reading unless a newer one is known.
+// observe stores a reading unless a newer one is known.
 func (candidate *candidate) observe(reading LoadReading) {
 	if candidate.hasReading && reading.At < candidate.reading.At {
 		return
@@ -140,7 +148,8 @@
 	candidate.updatePeak(reading.Running + reading.Waiting)
 }
 
-// takeOff counts a request that starts there as the given one.
+// startRequest counts a request that starts on the target. count is the number of requests in flight there, including the
+// new one.
 func (candidate *candidate) startRequest(activeRequest *activeRequest, count int) {
 	activeRequest.inFlightAtStart, activeRequest.peakInFlight = count, count
 	candidate.ownInFlight++
@@ -148,7 +157,7 @@
 	candidate.updatePeak(count)
 }
 
-// land counts a request that has ended there, and reports whether it was known.
+// endRequest removes a request that has ended on the target, and reports whether its record was found.
 func (candidate *candidate) endRequest(activeRequest *activeRequest) bool {
 	candidate.ownInFlight--
 	position := slices.Index(candidate.activeRequests, activeRequest)
@@ -159,14 +168,15 @@
 	return true
 }
 
-// notePeak tells the requests under way how many there are.
+// updatePeak raises the peak number of requests in the records of all active requests.
 func (candidate *candidate) updatePeak(count int) {
 	for _, activeRequest := range candidate.activeRequests {
 		activeRequest.peakInFlight = max(activeRequest.peakInFlight, count)
 	}
 }
 
-// others estimates what others have in flight there: what the reading told, less what has ended since on average.
+// othersInFlight estimates the number of requests that other instances have in flight on the target: the number at the
+// reading, less those that have ended since on average.
 func (candidate *candidate) othersInFlight(now clock.Moment) int {
 	age := now.Since(candidate.reading.At)
 	if !candidate.hasReading || age > othersDecayTime {
@@ -175,27 +185,27 @@
 	return int(float64(candidate.othersAtReading())*float64(1-age/othersDecayTime) + 0.5)
 }
 
-// othersTold is what others had in flight there when it told.
+// othersAtReading is the number of requests that other instances had in flight on the target at the reading.
 func (candidate *candidate) othersAtReading() int {
 	return max(candidate.reading.Running+candidate.reading.Waiting-candidate.ownAtReading, 0)
 }
 
-// room is the number of requests that may be in flight there at once.
+// concurrencyLimit is the number of requests that may be in flight on the target at once.
 func (candidate *candidate) concurrencyLimit() int {
 	return candidate.slotClass.currentLimit()
 }
 
-// cold reports whether the target bears only its cold rate, or may.
+// cold reports whether the target is limited to its cold rate, or has to be treated so because its state is unknown.
 func (candidate *candidate) cold(now clock.Moment) bool {
 	return now < candidate.coldUntil || candidate.config.Owned && candidate.stale(now)
 }
 
-// stale reports whether so long nothing was heard of the target that it may have turned cold meanwhile.
+// stale reports whether the last reading is so old that the target may have become cold since.
 func (candidate *candidate) stale(now clock.Moment) bool {
 	return !candidate.hasReading || now.Since(candidate.reading.At) > maxReadingAge
 }
 
-// mayStart reports whether one more request may be sent to a cold target now.
+// coldStartAllowed reports whether one more request may be sent to a cold target now.
 func (candidate *candidate) coldStartAllowed(now clock.Moment) bool {
 	if !candidate.config.Owned || now < candidate.ownedFrom {
 		return false
@@ -204,12 +214,12 @@
 	return candidate.tokens >= 1
 }
 
-// coldRate is the number of requests a second that this instance may send there while it is cold.
+// coldRate is the number of requests per second that this instance may send to the target while it is cold.
 func (candidate *candidate) coldRate() float64 {
 	return candidate.config.ColdRate * coldMargin * *candidate.coldShare
 }
 
-// startsAt is when a cold target may get one more request, never if it may already.
+// nextColdStartAt is when a cold target may get one more request, or never if it may get one already.
 func (candidate *candidate) nextColdStartAt(now clock.Moment) clock.Moment {
 	candidate.refill(now)
 	if candidate.tokens >= 1 {
@@ -224,8 +234,9 @@
 	candidate.tokensAt = now
 }
 
-// share is the part of the room that this instance may fill. What others have in flight on a target is known from what it tells; on one
-// that tells nothing each instance keeps to a part of its own, or together they would send it more than it can queue.
+// limitShare is the part of the concurrency limit that this instance may use. The number of requests that other instances
+// have in flight is known from the reports of the target. On a non-reporting target every instance keeps to a share of its
+// own, since all instances together would otherwise send more requests than the target can queue.
 func (candidate *candidate) limitShare(limit int) int {
 	switch {
 	case !candidate.hasReading || candidate.reportsLoad:
@@ -240,18 +251,18 @@
 	}
 }
 
-// open reports whether a request may be sent there now.
+// available reports whether a request may be sent to the target now.
 func (candidate *candidate) available(now clock.Moment, despiteFailures bool) bool {
 	return candidate.availableWithLimit(now, candidate.concurrencyLimit(), despiteFailures)
 }
 
-// openWith reports whether a request may be sent there now if the given number may be in flight at once.
+// availableWithLimit reports whether a request may be sent to the target now under the given concurrency limit.
 func (candidate *candidate) availableWithLimit(now clock.Moment, limit int, despiteFailures bool) bool {
 	if !candidate.config.Usable || candidate.down {
 		return false
 	}
 	if !despiteFailures && candidate.consecutiveFailures >= failuresUntilTrickle || candidate.stale(now) {
-		// Nothing is known of it, or nothing good; one request at a time does no harm and tells more.
+		// The state of the target is unknown or bad. One request at a time does no harm and shows its state.
 		limit = 1
 	}
 	if candidate.ownInFlight+candidate.othersInFlight(now) >= candidate.limitShare(limit) {
@@ -263,7 +274,7 @@
 	return !candidate.cold(now) || candidate.coldStartAllowed(now)
 }
 
-// fail counts a failed request.
+// recordFailure counts a failed request.
 func (candidate *candidate) recordFailure(now clock.Moment) {
 	candidate.failureRate += failureWeight * (1 - candidate.failureRate)
 	candidate.consecutiveFailures++
@@ -271,7 +282,7 @@
 	candidate.backoffUntil = now.Add(initialBackoff * clock.Milliseconds(int(1)<<doublings))
 }
 
-// succeed counts a request that went well.
+// recordSuccess counts a successful request.
 func (candidate *candidate) recordSuccess() {
 	candidate.failureRate -= failureWeight * candidate.failureRate
 	candidate.consecutiveFailures = 0
--- a/internal/service/candidateindex.go
+++ b/internal/service/candidateindex.go
@@ -6,60 +6,62 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// A choice among many targets compares some of them: those that are open and on which requests are expected to take the least time.
-// Targets are filed for that whenever something that matters has changed: a request starts or ends on them, they tell something, they
-// are offered anew or found to be down. What changes by time alone, such as the end of a spell, has a timer.
+// A choice among many targets compares only some of them: available targets on which requests are expected to take the least
+// time. The targets are indexed for this, and reindexed whenever something relevant changes: a request starts or ends, a
+// reading arrives, the configuration changes, or a probe fails. Changes that come with time alone, such as the end of a
+// slowdown interval, have a timer.
 //
-// Filing only says which targets are compared: whether the chosen one is open is asked again.
+// The index only determines which targets are compared: whether the chosen target is available is checked again.
 
-// filing is where a candidate is filed.
+// indexEntry is the position of a candidate in the index.
 type indexEntry struct {
 	bucketEntry bucketEntry[candidate]
-	// outlook and shared are what is predicted from until it is filed anew: they lie beside the entry, so that comparing it touches
-	// little memory.
+	// forecast and loadPenalty are the inputs of predictions until the candidate is reindexed. They are stored beside the
+	// entry so that a comparison reads little memory.
 	forecast    slowdownForecast
 	loadPenalty float64
 	slow        bool
-	// index lists it, nil when it is closed; fast is the count of open targets that aren't slow in which it is contained, nil for none.
+	// phaseIndex lists the candidate, nil while it is not available; fastCount is the count of available fast targets that
+	// includes it, nil for none.
 	phaseIndex *phaseIndex
 	phase      int
 	fastCount  *int
-	// slotClass counts it by the number of requests there, taken, nil while it isn't in use.
+	// slotClass counts the candidate under its number of requests, inFlight; it is nil while the candidate is not in use.
 	slotClass *slotClass
 	inFlight  int
-	// change is when it must be filed anew.
+	// reindexTimer is when the candidate has to be reindexed.
 	reindexTimer timer[candidate]
 }
 
-// openness is for which requests a target is open.
+// availability is for which requests a target is available.
 type availability int
 
 const (
 	availableToAll availability = iota
-	// openDespiteFailures takes requests that find no other target.
+	// availableDespiteFailures accepts requests that have no other available target.
 	availableDespiteFailures
 	availabilityCount
 )
 
-// openTargets lists open targets, those of the own data centre and the others.
+// availableTargets lists the available targets of the local data centre and of the remote ones.
 type availableTargets struct {
 	local, remote [availabilityCount]phaseIndex
-	// fast is the number of them that aren't slow.
+	// fastCount is the number of listed targets that are not slow.
 	fastCount int
 }
 
-// phases is the number of parts of a period by which targets are told apart.
+// phaseCount is the number of equal parts into which a period is divided.
 const phaseCount = 16
 
-// phasedIndex lists targets by the part of a period in which their slowness may change, those of which that isn't known in the last
-// list, and each part by how many times longer than usual requests take there.
+// phaseIndex lists targets by the part of a period in which their slowdown may change, and within each part by expected time
+// relative to the usual one. The last list holds the targets whose phase is unknown.
 type phaseIndex struct {
-	// notEmpty has a bit for each list that holds any.
+	// notEmpty has one bit for each list, set if the list is not empty.
 	notEmpty uint32
 	lists    [phaseCount + 1]bucketIndex[candidate]
 }
 
-// phaseOf is the part of a period in which a moment lies.
+// phaseOf returns the part of a period in which a moment falls.
 func phaseOf(at clock.Moment, period clock.Milliseconds) int {
 	if period == 0 {
 		return phaseCount
@@ -69,15 +71,16 @@
 }
 
 const (
-	// levelsPerDoubling makes neighbouring levels differ by 4 percent, and the last one begin at 11 times longer than usual.
+	// bucketsPerDoubling makes neighbouring buckets differ by 4 percent, and the last one begin at 11 times the usual time.
 	bucketsPerDoubling = 18
-	// refileFade is how often a target without a cadence is filed anew while its reading loses its worth.
+	// fadeReindexInterval is how often a target without a known slowdown cycle is reindexed while the weight of its reading
+	// decreases.
 	fadeReindexInterval = defaultSlowdownPeriod / 4
-	// tiniest keeps a moment that was worked out a rounding error too early from being due again at once.
+	// minReindexDelay prevents a timer that a rounding error set too early from being due again at once.
 	minReindexDelay = 1e-3 * clock.Millisecond
 )
 
-// file files a candidate by what holds now.
+// reindex updates the forecast, the position and the timer of a candidate.
 func (scheduler *Scheduler) reindex(now clock.Moment, candidate *candidate) {
 	indexEntry := &candidate.indexEntry
 	indexEntry.forecast = candidate.forecastSlowdown(now, scheduler.meanSlowdown)
@@ -90,7 +93,8 @@
 	}
 }
 
-// fileTaken files a candidate of which nothing has changed but how many requests are there. One that is cold also needs a timer.
+// reindexInFlight updates the position of a candidate of which only the number of requests has changed. A cold candidate
+// also needs its timer updated, which only reindex does.
 func (scheduler *Scheduler) reindexInFlight(now clock.Moment, candidate *candidate) {
 	indexEntry := &candidate.indexEntry
 	inFlight := candidate.ownInFlight + candidate.othersInFlight(now)
@@ -116,7 +120,8 @@
 	}
 }
 
-// fileEnded files a candidate on which a request has ended, and all if that has changed how many a target runs well.
+// reindexAfterRequest updates the position of a candidate on which a request has ended, and of all candidates if the
+// concurrency limit has changed with it.
 func (scheduler *Scheduler) reindexAfterRequest(now clock.Moment, candidate *candidate, result Result) {
 	slotClass := candidate.slotClass
 	switch {
@@ -130,14 +135,13 @@
 	}
 }
 
-// fileAll files all candidates anew.
 func (scheduler *Scheduler) reindexAll(now clock.Moment) {
 	for _, candidate := range scheduler.ordered {
 		scheduler.reindex(now, candidate)
 	}
 }
 
-// unfile takes a candidate out that is forgotten.
+// removeFromIndex removes a candidate from the index before its record is deleted.
 func (scheduler *Scheduler) removeFromIndex(candidate *candidate) {
 	candidate.indexEntry.moveTo(nil, 0)
 	candidate.indexEntry.countAsFast(nil)
@@ -145,14 +149,14 @@
 	scheduler.reindexTimers.remove(&candidate.indexEntry.reindexTimer)
 }
 
-// refresh files those anew for which time has changed something.
+// reindexDue reindexes the candidates whose timer is due.
 func (scheduler *Scheduler) reindexDue(now clock.Moment) {
 	for first := scheduler.reindexTimers.due(now); first != nil; first = scheduler.reindexTimers.due(now) {
 		scheduler.reindex(now, first)
 	}
 }
 
-// list puts the candidate on the list of the phase, or on none.
+// moveTo moves the candidate to the list of the given phase, or to no list if phaseIndex is nil.
 func (indexEntry *indexEntry) moveTo(phaseIndex *phaseIndex, phase int) {
 	if indexEntry.phaseIndex != nil && (indexEntry.phaseIndex != phaseIndex || indexEntry.phase != phase) {
 		indexEntry.phaseIndex.move(indexEntry.phase, &indexEntry.bucketEntry, unlisted)
@@ -202,8 +206,9 @@
 	indexEntry.slotClass, indexEntry.inFlight = slotClass, inFlight
 }
 
-// openBy returns the list of open targets to which the candidate belongs, nil when it is closed. One that is open only while
-// its slotClass finds out about one more request has a list of its own, for that begins and ends with any request.
+// availableListOf returns the list of available targets to which the candidate belongs, nil if it is not available. A
+// candidate that is available only while its slotClass explores one more request is in a separate list, because exploration
+// starts and ends with any request.
 func (scheduler *Scheduler) availableListOf(now clock.Moment, candidate *candidate, inFlight int) (*availableTargets, availability) {
 	slotClass := candidate.slotClass
 	switch nextLimit := slotClass.nextLimit(); {
@@ -221,7 +226,7 @@
 	return nil, availableToAll
 }
 
-// level is by how many times longer than usual requests take there, as they are compared.
+// bucket returns the bucket for the expected time relative to the usual one, averaged over a usual and a long request.
 func (indexEntry *indexEntry) bucket() int {
 	times := float64(indexEntry.forecast.slowdown) + 2/(1+longRequestFactor)*indexEntry.loadPenalty
 	if times <= 1 {
@@ -230,7 +235,7 @@
 	return min(int(bucketsPerDoubling*math.Log2(times)), levels-1)
 }
 
-// changesAt is the next moment at which the passing of time may change how the candidate is filed.
+// nextReindexAt returns the next moment at which the passing of time may change the position of the candidate.
 func (candidate *candidate) nextReindexAt(now clock.Moment) clock.Moment {
 	next := never
 	until := func(at clock.Moment) {
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -4,34 +4,34 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Choice.
+// Weights of the choice of a target.
 const (
-	// slowFrom is the slowdown from which a target counts as slow.
+	// slowThreshold is the slowdown from which a target counts as slow.
 	slowThreshold = 2.0
-	// CallerNetworkDelay is the part of a caller's time that passes on the way between caller and instance, which is not
-	// seen here: three ways until the request is here on a new connection, and one for the answer. Callers are up to 8 ms
-	// away; for nearer ones a request counts as late a little too soon, which costs it its rank and nothing else.
+	// CallerNetworkDelay is the part of a caller's time that passes on the network between caller and instance, which the
+	// instance cannot measure: three one-way trips until the request arrives on a new connection, and one for the answer.
+	// Callers are up to 8 ms away. For nearer ones a request counts as late slightly too early, which only lowers its rank.
 	CallerNetworkDelay = 34 * clock.Millisecond
-	// farCost is what a target in another data centre costs against one in the own: what is in flight there is known only
-	// from readings, so that instances which all see the same fast target fill it; and the links between data centres
-	// are shared.
+	// remoteCost is the additional cost of a target in another data centre. The number of requests in flight there is known
+	// only from readings, so that instances which all know of the same fast target overload it; and the links between data
+	// centres are shared.
 	remoteCost = 50 * clock.Millisecond
-	// bytesPerMillisecond turns the usual length of a request and its answer into time. 90 KB over the links between
-	// data centres count for as much as a late answer, 300 ms: a download goes to a slow target of the own data centre rather
-	// than to a fast one elsewhere.
+	// bytesPerMillisecond converts the usual size of a request and its answer to a cost in time. 90 KB over the links
+	// between data centres cost as much as a late answer, 300 ms: a download goes to a slow target in the local data centre
+	// rather than to a fast one in another.
 	bytesPerMillisecond = 300.0
-	// concurrencyCost is the part of the usual work that a full target costs against an empty one: with all else equal, the
-	// emptier one is taken, whose spell of slowness would hit fewer.
+	// concurrencyCost is the additional cost of a full target compared with an empty one, as a part of the usual service
+	// time. Of otherwise equal targets the emptier one is chosen, where a slow interval would affect fewer requests.
 	concurrencyCost = 0.15
 )
 
-// farCostOf is what a target in another data centre costs on top of the time that a request takes there.
+// remoteCostOf returns the cost of a target in another data centre that is added to the predicted duration.
 func remoteCostOf(classStats *classStats) clock.Milliseconds {
 	return remoteCost + clock.Milliseconds(classStats.answerSize/bytesPerMillisecond)
 }
 
-// best returns the open target with the earliest finish of those compared, passing over the one that was tried as long as there is
-// another.
+// best returns the available target with the lowest cost of those compared, and the predicted duration of a usual request on
+// it. The target of an earlier attempt is returned only if there is no other.
 func (scheduler *Scheduler) best(now clock.Moment, classStats *classStats, tried *Target, despiteFailures bool) (*candidate, clock.Milliseconds) {
 	comparison := comparison{
 		scheduler: scheduler, tried: tried, prediction: scheduler.predict(now, classStats),
@@ -48,19 +48,20 @@
 	return comparison.result()
 }
 
-// longTimes is how many times as long as usual a long request of a class takes. Targets are compared by how they would do
-// with a usual and with a long one: where the calm lasts longer, fewer are caught by the next spell.
+// longRequestFactor is the duration of a long request of a class relative to a usual one. Targets are compared by the
+// predictions for a usual and a long request: where the fast interval lasts longer, fewer requests run into the next slow
+// one.
 const longRequestFactor = 1.5
 
-// choiceSpread is the chance in a choice, as a part of the predicted time.
+// choiceJitter is the random part of a cost, relative to the predicted duration.
 const choiceJitter = 0.02
 
-// overSpells is how many times longer than usual work takes that lasts for many spells, slow and fast ones.
+// longRunSlowdown returns the slowdown of work that lasts for many intervals, slow and fast ones.
 func (scheduler *Scheduler) longRunSlowdown() float64 {
 	return 1 / scheduler.meanSpeed
 }
 
-// choose picks the target for a request, or nil when none is open or when it is better off waiting for a fast one.
+// choose returns the target for a request, or nil if none is available or if the request should wait for a fast one.
 func (scheduler *Scheduler) choose(now clock.Moment, waiter *rankedWaiter) *candidate {
 	chosen, finish := scheduler.best(now, waiter.expected, waiter.demand.Tried, false)
 	if chosen == nil {
@@ -73,7 +74,7 @@
 	return chosen
 }
 
-// anyOpen reports whether any target takes a request now that need not wait for it to be fast.
+// anyFastAvailable reports whether any target that is not slow accepts a request now.
 func (scheduler *Scheduler) anyFastAvailable(now clock.Moment) bool {
 	scheduler.reindexDue(now)
 	if scheduler.available.fastCount > 0 {
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -10,9 +10,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Short lookups and batches of 60 KB go to the same service, whose servers here are half taken while those in another data centre are
-// idle. A lookup goes where it is answered first. A batch would fill the link between the data centres, which all callers share.
-func TestLongBodiesStayAtHome(t *testing.T) {
+// Short lookups and batches of 60 KB go to the same service. Its local servers are half in use, while those in another data
+// centre are idle. A lookup goes where it is answered first; a batch stays local, since it would fill the link between the
+// data centres, which all callers share.
+func TestLongBodiesStayInLocalDataCentre(t *testing.T) {
 	cases := []struct {
 		name   string
 		size   int
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -7,17 +7,17 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// A choice compares all targets of a service with no more than compareAll of them. Of more targets it compares about compareMost in
-// the own data centre and as many elsewhere, so that it takes the same time however many there are. They are spread over all phases:
-// of equally slow targets those are best whose slowness changes last. After compareLeast those are left out that can't be
-// better by more than the chance in a choice.
+// Up to maxFullComparison targets of a service are all compared. Of more targets, about maxCompared are compared in the
+// local data centre and as many in the remote ones, so that a choice takes the same time for any number of targets. They are
+// spread over all phases: of equally slow targets, those whose slowdown changes last are best. After minCompared, targets
+// are left out that cannot be better by more than choiceJitter.
 const (
 	maxFullComparison = 16
 	maxCompared       = 16
 	minCompared       = 4
 )
 
-// levelTimes is how many times longer than usual requests take at least on targets of each level.
+// bucketTimes is the least expected time of the targets of each bucket, relative to the usual one.
 var bucketTimes = func() [levels]clock.Milliseconds {
 	var times [levels]clock.Milliseconds
 	for bucket := range times {
@@ -26,11 +26,11 @@
 	return times
 }()
 
-// comparison finds the target with the least cost for a request.
+// comparison finds the target with the lowest cost for a request.
 type comparison struct {
 	scheduler  *Scheduler
 	prediction prediction
-	// tried is passed over as long as there is another.
+	// tried is the target of an earlier attempt, chosen only if there is no other.
 	tried          *Target
 	triedCandidate *candidate
 	triedFinish    clock.Milliseconds
@@ -40,14 +40,15 @@
 	considered     int
 }
 
-// consider compares an open target with the best one so far, for which the given finishes of a usual and a long request are predicted.
+// consider compares an available target with the best one so far. finish and long are the predicted durations of a usual and
+// a long request on it.
 func (comparison *comparison) consider(candidate *candidate, finish, long clock.Milliseconds, local bool) {
 	if candidate.Target == comparison.tried {
 		comparison.triedCandidate, comparison.triedFinish = candidate, finish
 		return
 	}
 	comparison.considered++
-	// A little chance keeps instances with the same view from all choosing the same target.
+	// The jitter keeps instances with the same view from all choosing the same target.
 	cost := (finish + long) * clock.Milliseconds(1+choiceJitter*comparison.scheduler.random.Float64())
 	if !local {
 		cost += 2 * remoteCostOf(comparison.prediction.classStats)
@@ -62,7 +63,7 @@
 	comparison.consider(candidate, finish, long, local)
 }
 
-// result returns the best target, nil when there is none, and the time until a usual request is finished there.
+// result returns the best target, nil if there is none, and the predicted duration of a usual request on it.
 func (comparison *comparison) result() (*candidate, clock.Milliseconds) {
 	if comparison.best == nil {
 		return comparison.triedCandidate, comparison.triedFinish
@@ -70,7 +71,7 @@
 	return comparison.best, comparison.bestFinish
 }
 
-// amongMany compares some of the targets that are filed as open.
+// bestIndexed compares some of the targets that are indexed as available.
 func (comparison *comparison) bestIndexed(despiteFailures bool) (*candidate, clock.Milliseconds) {
 	scheduler, now := comparison.scheduler, comparison.prediction.now
 	scheduler.reindexDue(now)
@@ -105,7 +106,7 @@
 	}
 }
 
-// among compares some targets of each phase, beginning with the one whose slowness may just have changed.
+// compareList compares some targets of each phase, starting with the phase in which the slowdown may just have changed.
 func (comparison *comparison) compareList(phaseIndex *phaseIndex, local bool) {
 	extraCost := clock.Milliseconds(0)
 	if !local {
@@ -116,7 +117,8 @@
 	}
 	scheduler := comparison.scheduler
 	perPhase := (maxCompared + bits.OnesCount32(phaseIndex.notEmpty) - 1) / bits.OnesCount32(phaseIndex.notEmpty)
-	// Those of the youngest phase and the older ones come first, then the others from the highest number on.
+	// The lists of the current phase and the earlier ones come first, the latest phase first, then the others from the
+	// highest number down.
 	upToCurrent := uint32(2)<<phaseOf(comparison.prediction.now, scheduler.slowdownPeriod) - 1
 	for _, remaining := range [...]uint32{phaseIndex.notEmpty & upToCurrent, phaseIndex.notEmpty &^ upToCurrent} {
 		for ; remaining != 0; remaining &^= 1 << (bits.Len32(remaining) - 1) {
@@ -136,8 +138,9 @@
 	}
 }
 
-// settled reports whether enough were compared and targets of the level can't be better by more than the chance in a choice. What they cost
-// at least is as slow as they are for requests that keep that, and soon as slow as usual for others.
+// sufficient reports whether enough targets were compared, and targets of the given bucket cannot be better by more than
+// choiceJitter. The lower bound of their cost assumes the slowdown of the bucket for requests with a fixed slowdown, and at
+// most the long-run slowdown for the others.
 func (comparison *comparison) sufficient(extraCost clock.Milliseconds, bucket int) bool {
 	if comparison.considered < minCompared {
 		return false
--- a/internal/service/concurrency.go
+++ b/internal/service/concurrency.go
@@ -2,62 +2,66 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// concurrency learns how much longer requests take on targets that run many others. Some targets slow down before their last slots are
-// taken, so that a full one gets less done than one with a slot or two left; others don't, and what is left free there is lost.
-// Targets are told apart by their number of slots.
+// concurrencyModel learns how much longer requests take on targets that run many others. Some targets slow down before their
+// last slots are in use, so that a full target has less throughput than one with a slot or two free; on other targets, slots
+// left free are wasted. Targets are grouped by their number of slots.
 //
-// What is learnt is how many times longer a request takes that starts as the first, the second and so on of those that a target
-// runs. Up to half of the slots that is taken to be once. A request that sees more of them later tells nothing: whether what came later
-// held it up is not known.
+// The model holds a duration factor for a request that starts as the first, the second and so on of those on a target. Up to
+// half of the slots the factor is taken to be 1. A request during which others start is not used: whether these slowed it
+// down is not known.
 type concurrencyModel struct {
 	bySlots     map[int]*slotClass
 	slotClasses []*slotClass
-	// learns says that what requests take tells of how many others there were when they started.
+	// learning is true while the durations of requests show the effect of the other requests in flight when they started.
 	learning bool
 }
 
-// slotClass is what is known of targets with one number of slots.
+// slotClass is the model for targets with one number of slots.
 type slotClass struct {
 	model *concurrencyModel
-	// longer holds, for each number of requests under way with the new one, how many times longer that one takes; told counts the
-	// requests that have told so.
+	// durationFactors holds, by the number of requests in flight including the new one, the duration of the new request
+	// relative to the usual one; samples counts the requests that each factor was learned from.
 	durationFactors []float64
 	samples         []int
-	// room is the number of requests at once with which the most gets done.
+	// concurrencyLimit is the number of requests in flight with the highest throughput.
 	concurrencyLimit int
-	// trials is the number of requests under way beyond that room.
+	// explorations is the number of requests in flight beyond that limit.
 	explorations int
 
-	// targets counts the targets in use by the number of requests there, the last count stands for more as well.
+	// targetCounts counts the targets in use by their number of requests in flight; the last element also counts those with
+	// more.
 	targetCounts []int
-	// open lists those that are open only for one request beyond the room, filedRoom is the room by which targets are filed.
+	// availableBeyondLimit lists targets that are available only for one request beyond the limit; indexedLimit is the limit
+	// by which targets are indexed.
 	availableBeyondLimit availableTargets
 	indexedLimit         int
 }
 
-// flight is what a request under way sees of its target.
+// activeRequest records the load of the target during a request in flight.
 type activeRequest struct {
-	// first is the number of requests there when it started, itself included, peak the largest since.
+	// inFlightAtStart is the number of requests on the target when the request started, including itself; peakInFlight is
+	// the highest number since.
 	inFlightAtStart, peakInFlight int
 }
 
 const (
-	// nearlyFull is the share of the slots above which targets are taken to slow down until requests have told, and
-	// nearlyFullLonger by how much.
+	// contentionShare is the share of the slots above which targets are assumed to slow down until it is measured, and
+	// contentionFactor the assumed duration factor.
 	contentionShare  = 0.8
 	contentionFactor = 1.7
-	// leastSlowedSlots is the least number of slots with which a target is thought to slow down at all.
+	// minContendedSlots is the least number of slots with which targets are assumed to slow down at all.
 	minContendedSlots = 3
-	// clearGain is how many times more must get done for the room to change.
+	// minThroughputGain is the factor by which throughput must increase for the limit to change.
 	minThroughputGain = 1.1
-	// concurrencyWeight is the weight of one request.
+	// factorWeight is the weight of one request in a duration factor.
 	factorWeight = 0.1
-	// concurrencyKnown is the number of requests from which a figure counts as known. Until then concurrencyTrials at a time find out.
+	// minFactorSamples is the number of requests from which a duration factor counts as known. Until then, up to
+	// maxExplorations requests at a time explore it.
 	minFactorSamples = 12
 	maxExplorations  = 2
 )
 
-// of returns what is known of targets with the given number of slots.
+// classOf returns the model for targets with the given number of slots.
 func (concurrencyModel *concurrencyModel) classOf(slots int) *slotClass {
 	slots = max(slots, 1)
 	if class, found := concurrencyModel.bySlots[slots]; found {
@@ -80,14 +84,14 @@
 	return fresh
 }
 
-// unhindered reports whether so few requests are taken not to hold each other up.
+// uncontended reports whether the given number of requests is assumed not to slow each other down.
 func (slotClass *slotClass) uncontended(count int) bool {
 	slots := len(slotClass.durationFactors) - 1
 	return slots < minContendedSlots || count <= (slots+1)/2
 }
 
-// setRoom finds the number of requests at once with which the most gets done, by Little's law their number by the time of each. It
-// changes only for a clear gain.
+// updateLimit finds the number of requests in flight with the highest throughput, which is their number divided by their
+// duration by Little's law. It changes the limit only for a clear gain.
 func (slotClass *slotClass) updateLimit() {
 	best := slotClass.concurrencyLimit
 	for count := 1; count < len(slotClass.durationFactors); count++ {
@@ -100,12 +104,13 @@
 	}
 }
 
-// done is how much the target gets done with the given number of requests at once.
+// throughput is the relative throughput of a target with the given number of requests in flight.
 func (slotClass *slotClass) throughput(count int) float64 {
 	return float64(count) / slotClass.durationFactors[count]
 }
 
-// roomNow is the number of requests that may be under way at once: one more than the best as long as it isn't known what that does.
+// currentLimit is the number of requests that may be in flight at once: one beyond the best number while the effect of that
+// one is not known.
 func (slotClass *slotClass) currentLimit() int {
 	if slotClass.exploring() {
 		return slotClass.nextLimit()
@@ -113,23 +118,23 @@
 	return slotClass.concurrencyLimit
 }
 
-// trying reports whether one request more than the best number may be under way to find out.
+// exploring reports whether one request beyond the limit may be in flight to learn its effect.
 func (slotClass *slotClass) exploring() bool {
 	nextLimit := slotClass.nextLimit()
 	return slotClass.model.learning && nextLimit > slotClass.concurrencyLimit && slotClass.samples[nextLimit] < minFactorSamples && slotClass.explorations < maxExplorations
 }
 
-// next is one request more than the best number, as far as there are slots.
+// nextLimit is the limit plus one, at most the number of slots.
 func (slotClass *slotClass) nextLimit() int {
 	return min(slotClass.concurrencyLimit+1, len(slotClass.durationFactors)-1)
 }
 
-// times is how many times longer a request takes that starts as the given one.
+// durationFactor returns the duration, relative to the usual one, of a request that starts as the given one on a target.
 func (slotClass *slotClass) durationFactor(count int) clock.Milliseconds {
 	return clock.Milliseconds(slotClass.durationFactors[min(max(count, 0), len(slotClass.durationFactors)-1)])
 }
 
-// learn takes the time of a request that started on a fast target.
+// learn adds the duration of a request that started on a fast target.
 func (slotClass *slotClass) learn(activeRequest *activeRequest, serviceTime, held clock.Milliseconds) {
 	count := min(activeRequest.inFlightAtStart, len(slotClass.durationFactors)-1)
 	if !slotClass.model.learning || slotClass.uncontended(count) || activeRequest.peakInFlight > activeRequest.inFlightAtStart {
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -9,49 +9,50 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Servers with four slots slow down when three run, when four run, or not at all. With one request too many everything on them takes
-// longer; with one too few a quarter of what they could do is lost, and under load callers are refused for it.
-func TestRoomIsLearnt(t *testing.T) {
+// Servers with four slots slow down with three requests, with four, or not at all. With one request too many, all requests
+// take longer; with one too few, a quarter of the throughput is lost, and callers are refused under load.
+func TestConcurrencyLimitIsLearned(t *testing.T) {
 	cases := []struct {
-		name   string
-		slots  int
-		learns bool
-		longer func(first int) float64
-		room   int
+		name     string
+		slots    int
+		learning bool
+		factor   func(count int) float64
+		limit    int
 	}{
 		{"never slower", 4, true, func(int) float64 { return 1 }, 4},
-		{"slower when full", 4, true, func(first int) float64 { return []float64{1, 1, 1, 1, 1.7}[first] }, 3},
-		{"slower from the third on", 4, true, func(first int) float64 { return []float64{1, 1, 1, 2.5, 2.5}[first] }, 2},
-		{"never slower, but that can't be told", 4, false, func(int) float64 { return 1 }, 3},
-		{"few slots", 2, true, func(first int) float64 { return float64(first) }, 2},
+		{"slower when full", 4, true, func(count int) float64 { return []float64{1, 1, 1, 1, 1.7}[count] }, 3},
+		{"slower from the third request on", 4, true, func(count int) float64 { return []float64{1, 1, 1, 2.5, 2.5}[count] }, 2},
+		{"never slower, but this cannot be measured", 4, false, func(int) float64 { return 1 }, 3},
+		{"few slots", 2, true, func(count int) float64 { return float64(count) }, 2},
 		{"one slot", 1, true, func(int) float64 { return 1 }, 1},
-		{"many slots, nearly full is slower", 16, true, func(first int) float64 { return 1 + max(float64(first)-12, 0)/2 }, 12},
+		{"many slots, nearly full is slower", 16, true, func(count int) float64 { return 1 + max(float64(count)-12, 0)/2 }, 12},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(5, 5))
-			concurrencyModel := &concurrencyModel{learning: testCase.learns}
+			concurrencyModel := &concurrencyModel{learning: testCase.learning}
 			const work = 100 * clock.Millisecond
 			for range 3000 {
-				first := 1 + random.IntN(concurrencyModel.classOf(testCase.slots).currentLimit())
-				held := work * clock.Milliseconds(testCase.longer(first)*(1+0.3*random.NormFloat64()))
-				concurrencyModel.classOf(testCase.slots).learn(&activeRequest{inFlightAtStart: first, peakInFlight: first}, work, held)
+				count := 1 + random.IntN(concurrencyModel.classOf(testCase.slots).currentLimit())
+				held := work * clock.Milliseconds(testCase.factor(count)*(1+0.3*random.NormFloat64()))
+				concurrencyModel.classOf(testCase.slots).learn(&activeRequest{inFlightAtStart: count, peakInFlight: count}, work, held)
 			}
-			require.InDelta(t, testCase.room, concurrencyModel.classOf(testCase.slots).concurrencyLimit, float64(testCase.slots)/16)
+			require.InDelta(t, testCase.limit, concurrencyModel.classOf(testCase.slots).concurrencyLimit, float64(testCase.slots)/16)
 		})
 	}
 }
 
-// A request starts alone, and others join it. What it takes tells nothing of how it is to start beside others.
-func TestLaterRequestsTellNothing(t *testing.T) {
+// Other requests start after a request. Its duration shows nothing about requests that start beside others.
+func TestLaterRequestsAreNotLearnedFrom(t *testing.T) {
 	concurrencyModel := &concurrencyModel{learning: true}
 	before := concurrencyModel.classOf(4).durationFactors[3]
 	concurrencyModel.classOf(4).learn(&activeRequest{inFlightAtStart: 3, peakInFlight: 4}, 100, 1000)
 	require.InDelta(t, before, concurrencyModel.classOf(4).durationFactors[3], 0)
 }
 
-// What more requests at once do to a server is not known. Two at a time find out; were it all, every server would be too full.
-func TestFewRequestsFindOutTheRoom(t *testing.T) {
+// The effect of more requests at once is not known. At most two at a time may explore it; otherwise every server would be
+// overloaded.
+func TestFewRequestsExploreTheLimit(t *testing.T) {
 	concurrencyModel := &concurrencyModel{learning: true}
 	slotClass := concurrencyModel.classOf(4)
 	require.Equal(t, 4, slotClass.currentLimit())
@@ -59,9 +60,9 @@
 	require.Equal(t, 3, slotClass.currentLimit())
 }
 
-// Requests ended on a server that was fast, slow and fast again while they ran. Afterwards it can be told what each assumption says
-// they should have taken; where a spell was never read, or a request started too near to its end, nothing can.
-func TestHindsight(t *testing.T) {
+// Requests ran on a server that was fast, slow and fast again. When they have ended, both assumptions must give the duration
+// that the recorded slowdowns imply, and none if an interval has no reading or the request started too close to a boundary.
+func TestRetrospectiveForecast(t *testing.T) {
 	const start = clock.Moment(30000)
 	share := 1.0
 	candidate := &candidate{Target: &Target{Name: "one"}, config: TargetConfig{Slots: 4}, coldShare: &share, concurrencyModel: &concurrencyModel{}}
@@ -69,31 +70,31 @@
 		if slowdown == 0 {
 			continue
 		}
-		begun := start.Add(clock.Milliseconds(number) * 150)
-		candidate.observe(LoadReading{At: begun.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
+		begin := start.Add(clock.Milliseconds(number) * 150)
+		candidate.observe(LoadReading{At: begin.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
 	}
 	cases := []struct {
-		name     string
-		after    clock.Milliseconds
-		held     clock.Milliseconds
-		found    bool
-		kept     float64
-		followed float64
+		name    string
+		after   clock.Milliseconds
+		held    clock.Milliseconds
+		found   bool
+		fixed   float64
+		varying float64
 	}{
-		{"within the fast spell", 20, 120, true, 100, 100},
-		{"caught by the slow spell", 100, 300, true, 100, 50 + 150 + 20},
+		{"within the fast interval", 20, 120, true, 100, 100},
+		{"into the slow interval", 100, 300, true, 100, 50 + 150 + 20},
 		{"started slow", 200, 500, true, 500, 100 + 80},
-		{"over a spell that nobody read", 560, 200, false, 0, 0},
-		{"started too near to a change", 146, 200, false, 0, 0},
-		{"ended before it could have by either", 200, 50, true, 500, 100 + 80*1.25},
+		{"across an interval without a reading", 560, 200, false, 0, 0},
+		{"started too close to a boundary", 146, 200, false, 0, 0},
+		{"ended before either forecast", 200, 50, true, 500, 100 + 80*1.25},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			since := start.Add(testCase.after)
 			forecast, found := candidate.retrospectiveForecast(since, since.Add(testCase.held), 100, 1.25)
 			require.Equal(t, testCase.found, found)
-			require.InDelta(t, testCase.kept, float64(forecast.fixed), 0.1)
-			require.InDelta(t, testCase.followed, float64(forecast.varying), 3)
+			require.InDelta(t, testCase.fixed, float64(forecast.fixed), 0.1)
+			require.InDelta(t, testCase.varying, float64(forecast.varying), 3)
 		})
 	}
 }
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -11,7 +11,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// exhaustive chooses by looking at all targets, as simply as can be.
+// exhaustiveChooser chooses by comparing all targets, as a simple reference for Scheduler.
 type exhaustiveChooser struct {
 	*Scheduler
 
@@ -32,12 +32,12 @@
 			varying = steady + (serviceTime-steady/slowdown)*clock.Milliseconds(longRunSlowdown)
 		}
 	}
-	taken := float64(candidate.ownInFlight + candidate.othersInFlight(now))
+	inFlight := float64(candidate.ownInFlight + candidate.othersInFlight(now))
 	finish := exhaustiveChooser.slowdownModel.weighted(durationForecast{fixed: fixed, varying: varying})
-	return finish + classStats.serviceTime*clock.Milliseconds(concurrencyCost*taken/float64(candidate.concurrencyLimit())+failureCost*candidate.failureRate)
+	return finish + classStats.serviceTime*clock.Milliseconds(concurrencyCost*inFlight/float64(candidate.concurrencyLimit())+failureCost*candidate.failureRate)
 }
 
-// cost is what targets are compared by, but for chance.
+// cost is the cost by which targets are compared. chance replaces the random number of the jitter.
 func (exhaustiveChooser *exhaustiveChooser) cost(candidate *candidate, classStats *classStats, chance float64) clock.Milliseconds {
 	cost := exhaustiveChooser.finish(candidate, classStats, 1) + exhaustiveChooser.finish(candidate, classStats, longRequestFactor)
 	cost *= clock.Milliseconds(1 + choiceJitter*chance)
@@ -76,58 +76,58 @@
 }
 
 func (exhaustiveChooser *exhaustiveChooser) inFlightAndLimit() (int, int) {
-	taken, room := 0, 0
+	inFlight, limit := 0, 0
 	for _, candidate := range exhaustiveChooser.ordered {
 		if candidate.config.Usable && !candidate.down {
-			room += candidate.concurrencyLimit()
-			taken += min(candidate.ownInFlight+candidate.othersInFlight(exhaustiveChooser.now), candidate.concurrencyLimit())
+			limit += candidate.concurrencyLimit()
+			inFlight += min(candidate.ownInFlight+candidate.othersInFlight(exhaustiveChooser.now), candidate.concurrencyLimit())
 		}
 	}
-	return taken, room
+	return inFlight, limit
 }
 
-// check compares what the scheduler finds with what looking at all targets does.
+// check compares the results of the scheduler with those of the exhaustive search.
 func (randomWorkload *randomWorkload) check() {
 	scheduler, now := randomWorkload.scheduler, randomWorkload.clock.Now()
 	seed := randomWorkload.random.Uint64()
 	exhaustiveChooser := &exhaustiveChooser{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
-	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any open")
-	taken, room := exhaustiveChooser.inFlightAndLimit()
-	foundTaken, foundRoom := scheduler.taken(now)
-	require.Equal(randomWorkload, []int{taken, room}, []int{foundTaken, foundRoom}, "taken and room")
+	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any available")
+	inFlight, limit := exhaustiveChooser.inFlightAndLimit()
+	foundInFlight, foundLimit := scheduler.taken(now)
+	require.Equal(randomWorkload, []int{inFlight, limit}, []int{foundInFlight, foundLimit}, "in flight and limit")
 	permitRequest := randomWorkload.demand()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
 	expected := exhaustiveChooser.best(permitRequest, false)
 	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, false)
 	if expected == nil && found == nil {
-		require.Equal(randomWorkload, exhaustiveChooser.best(permitRequest, true) == nil, randomWorkload.bestDespiteFailures(permitRequest) == nil, "any open despite failures")
+		require.Equal(randomWorkload, exhaustiveChooser.best(permitRequest, true) == nil, randomWorkload.bestDespiteFailures(permitRequest) == nil, "despite failures")
 		return
 	}
-	require.Equal(randomWorkload, expected == nil, found == nil, "any open")
+	require.Equal(randomWorkload, expected == nil, found == nil, "any available")
 	require.True(randomWorkload, found.config.Usable && !found.down && found.available(now, false), "open")
 	if len(scheduler.ordered) <= maxFullComparison {
 		require.Same(randomWorkload, expected, found)
 		require.InDelta(randomWorkload, float64(exhaustiveChooser.finish(expected, scheduler.classStatsOf(permitRequest.Class), 1)), float64(finish), 1e-6)
 		return
 	}
-	require.Equal(randomWorkload, expected.Target == permitRequest.Tried, found.Target == permitRequest.Tried, "the one that was tried comes last")
+	require.Equal(randomWorkload, expected.Target == permitRequest.Tried, found.Target == permitRequest.Tried, "the target of the earlier attempt comes last")
 	classStats := scheduler.classStatsOf(permitRequest.Class)
 	randomWorkload.excessCosts = append(randomWorkload.excessCosts, float64(exhaustiveChooser.cost(found, classStats, 0)/exhaustiveChooser.cost(expected, classStats, 0)-1))
 }
 
 func (randomWorkload *randomWorkload) bestDespiteFailures(permitRequest Demand) *candidate {
 	found, _ := randomWorkload.scheduler.best(randomWorkload.clock.Now(), randomWorkload.scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, true)
-	require.True(randomWorkload, found == nil || found.config.Usable && !found.down && found.available(randomWorkload.clock.Now(), true), "open despite failures")
+	require.True(randomWorkload, found == nil || found.config.Usable && !found.down && found.available(randomWorkload.clock.Now(), true), "available despite failures")
 	return found
 }
 
-// A choice that doesn't look at all targets could miss the only free one, send requests to one that is leaving or down, or to a slow one
-// beside a fast one.
+// A choice that does not compare all targets could miss the only free one, send requests to a target that is leaving or
+// down, or to a slow one beside a fast one.
 func TestChoiceIsAsGoodAsExhaustive(t *testing.T) {
 	cases := []struct {
 		targets int
 		steps   int
-		// mean and most are by how much more, as a part, requests may be predicted to take on the chosen target than on the best one, in all
+		// mean and most bound the cost of the chosen target beyond that of the best one, relative to the latter: on average,
 		// and in 99 of 100 choices.
 		mean, most float64
 	}{
@@ -150,11 +150,11 @@
 				}
 				slices.Sort(randomWorkload.excessCosts)
 				sum := 0.0
-				for _, worse := range randomWorkload.excessCosts {
-					sum += worse
+				for _, excess := range randomWorkload.excessCosts {
+					sum += excess
 				}
 				mean, most := sum/float64(len(randomWorkload.excessCosts)), randomWorkload.excessCosts[len(randomWorkload.excessCosts)*99/100]
-				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at the most", len(randomWorkload.excessCosts), mean, most, slices.Max(randomWorkload.excessCosts))
+				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at most", len(randomWorkload.excessCosts), mean, most, slices.Max(randomWorkload.excessCosts))
 				require.LessOrEqual(t, mean, testCase.mean)
 				require.LessOrEqual(t, most, testCase.most)
 			})
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -5,18 +5,19 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// expectation is what is known of a class's requests.
+// classStats holds the estimates for the requests of a class.
 type classStats struct {
-	// work is how long a request takes on a fast target that runs few others, told the number of those that have told.
+	// serviceTime is the duration of a request on a fast target with few other requests, samples the number of requests that
+	// it was learned from.
 	serviceTime clock.Milliseconds
 	samples     int
-	// size is the length of a request and its answer.
+	// answerSize is the average size of a request and its answer in bytes.
 	answerSize float64
-	// patience is the most time that a caller of the class has had left.
+	// maxTimeLeft is the longest time that a caller of the class had left.
 	maxTimeLeft clock.Milliseconds
 }
 
-// Observe takes a reading of a target.
+// Observe adds a load reading of a target.
 func (scheduler *Scheduler) Observe(name settings.TargetName, reading LoadReading) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -38,10 +39,10 @@
 	scheduler.serveWaiting(now)
 }
 
-// searchEvery is the time between two searches for a period, which take some milliseconds of processor time.
+// periodSearchInterval is the time between two searches for a period, which take some milliseconds of CPU time.
 const periodSearchInterval = clock.Second
 
-// learnCadence finds the period and the target's phase when they are not known yet.
+// learnSlowdownCycle determines the period, and the phase of the target, unless they are known.
 func (scheduler *Scheduler) learnSlowdownCycle(now clock.Moment, candidate *candidate) {
 	if candidate.slowdownCycle.period > 0 {
 		scheduler.slowdownPeriod = candidate.slowdownCycle.period
@@ -60,8 +61,8 @@
 	}
 }
 
-// SlowdownCycle returns how long from now the target's slowdown stays as it is and the time between changes, 0 when that is not
-// known.
+// SlowdownCycle returns the time from now until the slowdown of the target may change, and the period of its cycle, both 0
+// if they are not known.
 func (scheduler *Scheduler) SlowdownCycle(name settings.TargetName) (clock.Milliseconds, clock.Milliseconds) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -72,8 +73,9 @@
 	return candidate.slowdownCycle.untilBoundary(scheduler.clock.Now()), candidate.slowdownCycle.period
 }
 
-// NextProbe returns how long to wait until the target is worth probing again: until its slowness may have changed, or
-// only a moment while that is not known.
+// NextProbe returns the time to wait before the next probe of the target: until its slowdown may have changed, or a short
+// time while its cycle is not known. learning is the time between probes while the cycle is being learned, unknown the time
+// if the target is not known or has no known cycle.
 func (scheduler *Scheduler) NextProbe(name settings.TargetName, learning, unknown clock.Milliseconds) clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -101,7 +103,7 @@
 	return unknown
 }
 
-// ExpectedDuration is how long a request of the class takes on a fast target.
+// ExpectedDuration returns the expected duration of a request of the class on a fast target.
 func (scheduler *Scheduler) ExpectedDuration(class settings.ClassName) clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -118,25 +120,27 @@
 }
 
 const (
-	// learnWeight is the weight of one request in what is expected of its class, once there were some.
+	// learnWeight is the weight of one request in the estimates of its class, once there are enough samples.
 	learnWeight = 0.03
-	// learntFrom is the number of requests from which what is expected of a class is trusted enough to tell an outlier.
+	// minSamples is the number of requests from which the estimates of a class are good enough to detect outliers.
 	minSamples = 5
 )
 
-// learn takes the time of a request that started on a fast target as the usual one, but for what others on the target made of it.
+// learnServiceTime updates the usual service time with a request that started on a fast target, corrected for the other
+// requests on that target.
 func (scheduler *Scheduler) learnServiceTime(permit Place, held clock.Milliseconds) {
 	classStats := permit.expected
 	classStats.answerSize += learnWeight * (float64(permit.Size) - classStats.answerSize)
 	slotClass := permit.candidate.slotClass
 	uncontended := held / slotClass.durationFactor(permit.flight.inFlightAtStart)
 	if !permit.fast || classStats.samples >= minSamples && uncontended > maxOutlierFactor*classStats.serviceTime {
-		// Slowed down on the way; a slow spell says nothing about the usual time. A guess that is far too low is
-		// still raised, slowly.
+		// The request was slowed down while it ran, or started on a slow target, which does not show the usual time. An
+		// estimate that is far too low is still raised, slowly.
 		classStats.serviceTime += learnWeight * learnWeight * (uncontended - classStats.serviceTime)
 		return
 	}
-	// Were both learnt from requests beside many others, each could take the other's part.
+	// If both the service time and the duration factors were learned from requests beside many others, the time of one could
+	// be attributed to the other.
 	if classStats.samples >= minSamples && !slotClass.uncontended(permit.flight.peakInFlight) {
 		scheduler.concurrencyModel.learning = !scheduler.slowdownMayVary(scheduler.clock.Now())
 		slotClass.learn(permit.flight, classStats.serviceTime, held)
@@ -146,8 +150,8 @@
 	classStats.serviceTime += max(learnWeight, 1/clock.Milliseconds(classStats.samples)) * (uncontended - classStats.serviceTime)
 }
 
-// learnPace takes the time of a request to tell whether requests keep the pace at which they start. The usual work of a class must be
-// known for it.
+// learnSlowdownModel learns from the duration of a request whether requests keep the slowdown at which they start. It
+// requires a known service time of the class.
 func (scheduler *Scheduler) learnSlowdownModel(now clock.Moment, permit Place, held clock.Milliseconds, finished bool) {
 	classStats := permit.expected
 	if classStats.samples < minSamples {
@@ -159,15 +163,16 @@
 	}
 }
 
-// Where requests follow the pace of their target, what they take tells little of how many others it ran when they started.
+// If the slowdown of a request varies with the slowdown of its target, its duration shows little about the effect of the
+// other requests in flight when it started.
 const (
-	// followsBelow is the weight of the assumption that they keep their own below which they count as following it.
+	// varyingBelow is the weight of the fixed slowdown below which the slowdown of requests counts as varying.
 	varyingBelow = 0.7
-	// steadyAfter is the time without a slow target after which there is nothing to follow.
+	// steadyAfter is the time without a slow target after which no slowdown is left to vary.
 	steadyAfter = 10 * clock.Second
 )
 
-// mayFollow reports whether requests may follow the pace of their target.
+// slowdownMayVary reports whether the slowdown of running requests may vary with the slowdown of their target.
 func (scheduler *Scheduler) slowdownMayVary(now clock.Moment) bool {
 	if now.Since(scheduler.lastSlowAt) >= steadyAfter {
 		return false
@@ -175,26 +180,26 @@
 	return !scheduler.slowdownModel.hasEvidence() || scheduler.slowdownModel.fixedWeight() < varyingBelow
 }
 
-// mostOutlying is how many times the usual time a request may take to count as one that was not slowed down.
+// maxOutlierFactor is the longest duration, relative to the usual one, of a request that counts as not slowed down.
 const maxOutlierFactor = 2.5
 
-// Observe takes a reading that came with the answer to the place's request.
+// Observe adds a load reading that arrived with the answer to the request of the permit.
 func (permit Place) Observe(reading LoadReading) {
 	if permit.scheduler != nil {
 		permit.scheduler.Observe(permit.Target.Name, reading)
 	}
 }
 
-// firstTryLeft is the part of the most patient caller's time that one who comes for the first time has at least. Callers
-// of one class differ in patience; one with less left than that has come before.
+// minFirstAttemptShare is the least time left at a first attempt, relative to the longest time left of any caller of the
+// class. Callers of one class differ in their time limits; a caller with less time left has made an earlier attempt.
 const minFirstAttemptShare = 0.8
 
-// usualPatience is the part of it that callers have on average.
+// meanTimeShare is the average time limit of callers, relative to the longest one.
 const meanTimeShare = 0.92
 
-// SoftDeadline returns the moment until which an answer is worth most to a caller that has the given time left. A caller counts
-// from its first attempt, and one that comes back has less time left than others of its class, who so show how much has
-// passed.
+// SoftDeadline returns the moment until which an answer has its full value to a caller with the given time left. aim is the
+// time for such an answer from the first attempt on. A caller that retries has less time left than others of its class,
+// which shows how much of its time has passed.
 func (scheduler *Scheduler) SoftDeadline(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
--- a/internal/service/loadreading.go
+++ b/internal/service/loadreading.go
@@ -2,38 +2,39 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// LoadReading is what a target told of itself at one moment: in the header of an answer, in answer to a probe, or through
-// the instance that probes it.
+// LoadReading is the state that a target reported at one moment: in a header of an answer, in the answer to a probe, or
+// through the instance that probes it.
 type LoadReading struct {
-	// At is when it was taken, on this process's clock.
+	// At is when the reading was taken, on the clock of this process.
 	At clock.Moment
-	// Running and Waiting are the requests that the target ran and queued then, Slots those it can run at once.
+	// Running and Waiting are the numbers of requests that the target ran and queued, Slots the number that it can run at
+	// once.
 	Running, Waiting, Slots int
-	// Slowdown is how many times longer than usual work took on the target's machine then; 1 is as usual.
+	// Slowdown is the duration of work on the machine of the target relative to the usual one; 1 is no slowdown.
 	Slowdown float64
-	// SteadyFor is how long from then the slowdown stays as it is, and Period the time between two moments at which it
-	// may change, as another instance has learnt them; 0 when it is not known.
+	// SteadyFor is the time from At until the slowdown may change, and Period the time between two such moments, as another
+	// instance has learned them; 0 if they are not known.
 	SteadyFor, Period clock.Milliseconds
-	// ColdKnown tells whether the reading says how warm the target is; ColdFor is then how long it stays cold.
+	// ColdKnown is true if the reading says whether the target is cold; ColdFor is then the time until it is warm.
 	ColdKnown bool
 	ColdFor   clock.Milliseconds
 }
 
-// ReportsLoad reports whether the target told its load. Many only tell that they are there.
+// ReportsLoad reports whether the reading contains the load of the target. Many targets only report that they are reachable.
 func (reading *LoadReading) ReportsLoad() bool {
 	return reading.Slots > 0 || reading.Running > 0 || reading.Slowdown > 0
 }
 
-// Spells of slowness. A target shares its machine with others, so that its work slows down several times over for a
-// spell of some 150 ms and is back to usual just as suddenly. A reading therefore loses its worth over one spell; once
-// it is older, the mean over all targets says more. The length counts until a service's own period is known.
+// defaultSlowdownPeriod is used until the period of a service is known. A target shares its machine with others, so that its
+// work slows down several times over for an interval of some 150 ms and returns to the usual speed as suddenly. The weight
+// of a reading therefore decreases to zero over one interval; after that, the mean over all targets is the better estimate.
 const defaultSlowdownPeriod = 150 * clock.Millisecond
 
-// coldSlowdown is how many times longer work takes on a target that is cold.
+// coldSlowdown is the slowdown of work on a cold target.
 const coldSlowdown = 2.0
 
-// slowdownAt is the slowdown to expect at now, with mean what readings of warm targets say on average. What a target tells
-// of itself includes that it is cold, so only what is expected without a reading is raised for it.
+// expectedSlowdown returns the slowdown to expect at now. meanSlowdown is the average over the readings of warm targets. A
+// reading of a cold target already includes its being cold, so only the mean is raised for it.
 func (candidate *candidate) expectedSlowdown(now clock.Moment, meanSlowdown float64) float64 {
 	if candidate.cold(now) {
 		meanSlowdown *= coldSlowdown
--- a/internal/service/nonreporting_test.go
+++ b/internal/service/nonreporting_test.go
@@ -10,21 +10,22 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Servers tell that they are there and nothing more, and three instances share them. None sees what the others send. If each filled
-// every server, a server with four slots and a queue of eight would get twelve requests from here and as many from the others; what it
-// can't queue it never answers, and callers wait for nothing. Servers that tell are filled by what they tell.
-func TestShareOfSilentServers(t *testing.T) {
+// Three instances share servers that report no load, so that none knows the requests of the others. If each filled every
+// server, a server with four slots and a queue of eight would get twelve requests from each of them. It never answers those
+// that it cannot queue, and their callers wait in vain. Reporting servers are filled according to their reports.
+func TestShareOfNonReportingServers(t *testing.T) {
 	cases := []struct {
-		name  string
-		slots int
-		told  LoadReading
-		// owned and foreign are the requests that an instance may have on a server of its own and on another's.
-		owned, foreign int
+		name    string
+		slots   int
+		reading LoadReading
+		// owned and notOwned are the numbers of requests that an instance may have on a server that it owns and on one that
+		// it does not own.
+		owned, notOwned int
 	}{
-		{"four slots, silent", 4, LoadReading{}, 2, 1},
-		{"one slot, silent", 1, LoadReading{}, 1, 1},
-		{"eight slots, silent", 8, LoadReading{}, 5, 1},
-		{"four slots, telling", 4, LoadReading{Slots: 4, Slowdown: 1}, 3, 2},
+		{"four slots, non-reporting", 4, LoadReading{}, 2, 1},
+		{"one slot, non-reporting", 1, LoadReading{}, 1, 1},
+		{"eight slots, non-reporting", 8, LoadReading{}, 5, 1},
+		{"four slots, reporting", 4, LoadReading{Slots: 4, Slowdown: 1}, 3, 2},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -33,10 +34,10 @@
 				manual.Advance(clock.Minute)
 				scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 				scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: testCase.slots, Owned: owned, Usable: true}})
-				told := testCase.told
-				told.At, told.ColdKnown = manual.Now(), true
-				scheduler.Observe("one", told)
-				expected := testCase.foreign
+				reading := testCase.reading
+				reading.At, reading.ColdKnown = manual.Now(), true
+				scheduler.Observe("one", reading)
+				expected := testCase.notOwned
 				if owned {
 					expected = testCase.owned
 				}
@@ -46,26 +47,26 @@
 	}
 }
 
-// fill takes places until there is none.
+// fill acquires permits until none is free and returns their number.
 func fill(t *testing.T, scheduler *Scheduler) int {
 	now := scheduler.clock.Now()
-	for taken := range 100 {
+	for acquired := range 100 {
 		_, pendingPermit, err := scheduler.Enter(Demand{Class: "look", Aim: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
 		if pendingPermit != nil || err != nil {
-			return taken
+			return acquired
 		}
 	}
-	require.Fail(t, "no end of places")
+	require.Fail(t, "permits never ran out")
 	return 0
 }
 
-// A server that tells nothing can't be learnt from, however often it is probed; each probe is load for nothing. One that has told
-// is probed as often as that is worth.
-func TestSilentServersAreProbedRarely(t *testing.T) {
+// Nothing can be learned from a server that reports no load, so frequent probes would only add load. A server that has
+// reported its load is probed as often as that is useful.
+func TestNonReportingServersAreProbedRarely(t *testing.T) {
 	cases := []struct {
-		name  string
-		told  LoadReading
-		pause clock.Milliseconds
+		name    string
+		reading LoadReading
+		probeIn clock.Milliseconds
 	}{
 		{"silent", LoadReading{}, nonReportingProbeInterval},
 		{"telling", LoadReading{Slots: 4, Slowdown: 1}, 30},
@@ -76,10 +77,10 @@
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 			scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: 4, Owned: true, Usable: true}})
-			require.Equal(t, 30*clock.Millisecond, scheduler.NextProbe("one", 30, 45), "nothing is known yet")
-			testCase.told.At = manual.Now()
-			scheduler.Observe("one", testCase.told)
-			require.Equal(t, testCase.pause, scheduler.NextProbe(settings.TargetName("one"), 30, 45))
+			require.Equal(t, 30*clock.Millisecond, scheduler.NextProbe("one", 30, 45), "no reading yet")
+			testCase.reading.At = manual.Now()
+			scheduler.Observe("one", testCase.reading)
+			require.Equal(t, testCase.probeIn, scheduler.NextProbe(settings.TargetName("one"), 30, 45))
 		})
 	}
 }
--- a/internal/service/prediction.go
+++ b/internal/service/prediction.go
@@ -9,17 +9,17 @@
 // never is later than any moment.
 var never = clock.Moment(math.Inf(1))
 
-// prediction is what the predictions for one request have in common.
+// prediction holds the values that the predictions for one request share.
 type prediction struct {
 	now        clock.Moment
 	classStats *classStats
-	// keeping is the weight of the assumption that a request keeps the pace at which it starts.
+	// fixedWeight is the weight of the assumption that a request keeps the slowdown at which it starts.
 	fixedWeight     clock.Milliseconds
 	meanSlowdown    float64
 	longRunSlowdown float64
 }
 
-// predict prepares predictions for a request of the given expectation.
+// predict prepares the predictions for a request of a class.
 func (scheduler *Scheduler) predict(now clock.Moment, classStats *classStats) prediction {
 	return prediction{
 		now: now, classStats: classStats,
@@ -27,13 +27,13 @@
 	}
 }
 
-// finishOn predicts how long a usual and a long request take on the target.
+// finishOn predicts the durations of a usual and a long request on the target.
 func (prediction *prediction) finishOn(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
 	slowdownForecast := candidate.forecastSlowdown(prediction.now, prediction.meanSlowdown)
 	return prediction.finish(&slowdownForecast, candidate.loadPenalty(candidate.ownInFlight+candidate.othersInFlight(prediction.now), candidate.concurrencyLimit()))
 }
 
-// finishAsFiled predicts the same from what was found when the target was filed.
+// finishAsIndexed does the same with the forecast that was stored when the target was indexed.
 func (prediction *prediction) finishAsIndexed(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
 	indexEntry := &candidate.indexEntry
 	if indexEntry.forecast.until < prediction.now {
@@ -50,20 +50,21 @@
 	return usual.weighted(prediction.fixedWeight) + penalty, long.weighted(prediction.fixedWeight) + penalty
 }
 
-// sharedBy is how many times the usual work a request takes longer for those beside it and for failures.
+// loadPenalty returns the time added by other requests in flight and by failures, relative to the usual service time.
 func (candidate *candidate) loadPenalty(inFlight, limit int) float64 {
 	return concurrencyCost*float64(inFlight)/float64(limit) + failureCost*candidate.failureRate
 }
 
-// outlook is how slow a target is expected to be.
+// slowdownForecast is the expected slowdown of a target.
 type slowdownForecast struct {
-	// slowdown is what it is until it may change.
+	// slowdown is expected until the moment until, from which it may change.
 	slowdown clock.Milliseconds
 	until    clock.Moment
 	cold     bool
 }
 
-// outlookAt is what to expect of the target, with mean what readings of warm targets say on average.
+// forecastSlowdown returns the expected slowdown of the target. meanSlowdown is the average over the readings of warm
+// targets.
 func (candidate *candidate) forecastSlowdown(now clock.Moment, meanSlowdown float64) slowdownForecast {
 	slowdownForecast := slowdownForecast{slowdown: clock.Milliseconds(candidate.expectedSlowdown(now, meanSlowdown)), until: never}
 	if candidate.slowdownCycle.period > 0 {
@@ -73,8 +74,8 @@
 	return slowdownForecast
 }
 
-// forecast predicts how long work of the given usual length takes if it starts now, with overSpells how many times longer than usual it
-// takes over many spells.
+// duration predicts the duration of work of the given service time that starts now. longRunSlowdown is the average slowdown
+// over many intervals.
 func (slowdownForecast *slowdownForecast) duration(now clock.Moment, serviceTime clock.Milliseconds, longRunSlowdown float64) durationForecast {
 	forecast := durationForecast{fixed: serviceTime * slowdownForecast.slowdown}
 	forecast.varying = forecast.fixed
@@ -87,7 +88,7 @@
 	return forecast
 }
 
-// expected weighs the assumptions.
+// weighted returns the average of the two assumptions, with the given weight for the fixed slowdown.
 func (durationForecast durationForecast) weighted(fixedWeight clock.Milliseconds) clock.Milliseconds {
 	return durationForecast.varying + fixedWeight*(durationForecast.fixed-durationForecast.varying)
 }
--- a/internal/service/randomworkload_test.go
+++ b/internal/service/randomworkload_test.go
@@ -10,7 +10,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// upheaval does things at random to a scheduler.
+// randomWorkload performs random operations on a scheduler.
 type randomWorkload struct {
 	*testing.T
 
@@ -22,7 +22,8 @@
 	steady         bool
 	permits        []Place
 	pendingPermits []*Ticket
-	// worse is by what part each choice among many costs more than the best one.
+	// excessCosts holds, for each choice among many targets, its cost beyond that of the best target, relative to the
+	// latter.
 	excessCosts []float64
 }
 
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -9,10 +9,11 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// RefusedError says that a request was refused without having been sent anywhere, and when room is expected.
+// RefusedError reports that a request was refused before it was sent to any backend server, and when a retry is expected to
+// succeed.
 type RefusedError struct {
 	Cause error
-	// RetryAfter is how long from now room is expected.
+	// RetryAfter is the time from now after which a permit is expected to be free.
 	RetryAfter clock.Milliseconds
 }
 
@@ -26,16 +27,19 @@
 	return refused.Cause
 }
 
-// SchedulerOptions are what a Scheduler is made from.
+// SchedulerOptions configures a Scheduler.
 type SchedulerOptions struct {
 	Clock *clock.Clock
 	Rand  *rand.Rand
 }
 
-// Scheduler gives out the places of one service at one instance by prediction: each request goes to the target on which
-// it is expected to be finished first, and waits here while every target is full or slow and waiting still lets it be in
-// time. It answers the load in which targets slow down several times over for spells of some 150 ms: what a target did a
-// second ago says nothing, what it said 50 ms ago says most of what there is to know. It is safe for concurrent use.
+// Scheduler grants the permits of one service at one instance by predicted completion time: each request goes to the target
+// on which it is expected to finish first. While every target is full or slow, a request waits here as long as it can still
+// be answered before its soft deadline.
+//
+// Targets are expected to slow down several times over for intervals of some 150 ms. A reading that is one second old
+// therefore predicts nothing, while a reading that is 50 ms old is the best predictor there is. Scheduler is safe for
+// concurrent use.
 type Scheduler struct {
 	clock *clock.Clock
 
@@ -45,36 +49,40 @@
 	ordered     []*candidate
 	usableCount int
 	waiting     rankedQueue
-	// work is the usual time of a request on a fast target, by class; size is the usual length of its answer.
+	// classStats holds the estimates for the requests of each class.
 	classStats map[settings.ClassName]*classStats
-	// meanSlowdown is the average over all readings.
+	// meanSlowdown is the moving average of the slowdown over the readings of all warm targets.
 	meanSlowdown float64
-	// meanSpeed is the average over all readings of the work done in a unit of time, 1 on a fast target.
+	// meanSpeed is the moving average of 1/slowdown over the same readings: the work done per unit of time, 1 on a target
+	// without slowdown.
 	meanSpeed float64
-	// slowAt is when a target last was slow, or might have been: nothing is known at first.
+	// lastSlowAt is when a target was last slow. It starts at the creation of the scheduler, since nothing is known of the
+	// targets then.
 	lastSlowAt       clock.Moment
 	slowdownModel    slowdownModel
 	concurrencyModel concurrencyModel
-	// own is the number of places taken, meanHold how long one is taken.
+	// ownInFlight is the number of permits in use, meanHold the moving average of the time for which one is in use.
 	ownInFlight int
-	meanHold clock.Milliseconds
-	// coldShare is the part of what cold targets bear that this instance may use.
+	meanHold    clock.Milliseconds
+	// coldShare is the share of the request rate of cold targets that this instance may use.
 	coldShare float64
-	// lastTake is when a request last asked for a place.
+	// lastAcquire is when a permit was last requested.
 	lastAcquire clock.Moment
 	startShares startShares
-	// open lists targets that are open, changes is when time changes how they are filed, compared is used again by each choice.
+	// available indexes the targets that accept a request, reindexTimers holds when each target has to be reindexed because
+	// time has passed, and compareBuffer is reused by every choice.
 	available     availableTargets
 	reindexTimers timerQueue[candidate]
 	compareBuffer []*candidate
-	// flights are the records of ended requests, for those to come.
+	// freeActiveRequests holds the records of ended requests for reuse.
 	freeActiveRequests []*activeRequest
-	// period is the time between changes of slowness, 0 until it is known; nextSearch is when it is looked for again.
+	// slowdownPeriod is the time between possible changes of slowdown, 0 until it is known; nextPeriodSearch is when the
+	// next search for it is due.
 	slowdownPeriod   clock.Milliseconds
 	nextPeriodSearch clock.Moment
 }
 
-// First guesses, until requests have told better.
+// Initial estimates, used until requests and readings have replaced them.
 const (
 	initialServiceTime = 100 * clock.Millisecond
 	initialSlowdown    = 1.5
@@ -89,8 +97,8 @@
 	}
 }
 
-// SetTargets replaces what the control goroutine says of targets. Targets that are no longer offered are forgotten, but
-// for the count of what is in flight on them.
+// SetTargets replaces the configuration of all targets. A target that is missing from configs is removed; if requests of
+// this instance are still in flight on it, its record is kept as unusable.
 func (scheduler *Scheduler) SetTargets(configs []TargetConfig) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -108,8 +116,8 @@
 	for _, candidate := range scheduler.ordered {
 		if !kept[candidate.Name] {
 			candidate.config.Usable = false
-			// A target that comes back while requests are in flight on it keeps their count: a fresh record would start
-			// at zero, and one that is cold again would be given more than it bears.
+			// The record of a target with requests in flight is kept, so that their count survives if the target returns. A
+			// new record would start at zero, and a target that is cold again would then get more requests than it can run.
 			if candidate.ownInFlight == 0 {
 				scheduler.removeFromIndex(candidate)
 				delete(scheduler.candidates, candidate.Name)
@@ -154,26 +162,26 @@
 	}
 }
 
-// A service is busy when the part busyFrom of its room is taken. Other instances then need to know what is in flight on this one's
-// targets more often than its slowness changes: every busyLook.
+// A service is busy when busyShare of its concurrency limit is in flight. Other instances then need to learn the number of
+// requests in flight on the targets of this instance more often than their slowdown changes: every busyProbeInterval.
 const (
 	busyShare         = 0.4
 	busyProbeInterval = 60 * clock.Millisecond
 )
 
-// silentLook is the pause between probes of a target that doesn't tell its load: a probe tells only that it is there, and whether it
-// is cold.
+// nonReportingProbeInterval is the time between probes of a target that does not report its load: a probe then only shows
+// that the target is reachable and whether it is cold.
 const nonReportingProbeInterval = 500 * clock.Millisecond
 
-// A target is probed densely for learnFor to learn its cadence, and for relearnFor when its phase was lost: the period is
-// known then. When there is none to be learnt, that is tried again after learnAgain.
+// A target is probed at a high rate for learnDuration to learn its slowdown cycle, and for relearnDuration when only its
+// phase was lost, because the period is known then. If no cycle was found, the next attempt starts after learnRetryInterval.
 const (
 	relearnDuration    = 1500 * clock.Millisecond
 	learnDuration      = 6 * clock.Second
 	learnRetryInterval = 30 * clock.Second
 )
 
-// SetDown notes whether probes find nobody at the target.
+// SetDown sets whether probes fail to reach the target.
 func (scheduler *Scheduler) SetDown(name settings.TargetName, down bool) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -189,7 +197,7 @@
 	scheduler.reindex(scheduler.clock.Now(), candidate)
 }
 
-// SetColdShare changes the part of what cold targets bear that this instance may use, from 0 to 1.
+// SetColdShare sets the share of the request rate of cold targets that this instance may use, from 0 to 1.
 func (scheduler *Scheduler) SetColdShare(share float64) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -204,7 +212,7 @@
 	scheduler.reindexAll(now)
 }
 
-// DiscardReadings drops all readings: after this process stood still, nothing that it knew is worth anything.
+// DiscardReadings drops all load readings. It is called after the process was suspended, when all readings are out of date.
 func (scheduler *Scheduler) DiscardReadings() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -214,14 +222,14 @@
 	scheduler.reindexAll(scheduler.clock.Now())
 }
 
-// Busy reports whether a request asked for a place within the given time.
+// Busy reports whether a permit was requested within the given time.
 func (scheduler *Scheduler) Busy(within clock.Milliseconds) bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.lastAcquire > 0 && scheduler.clock.Now().Since(scheduler.lastAcquire) < within
 }
 
-// Acquire waits for a place. The error is a *RefusedError, or the context's.
+// Acquire waits for a permit. The error is a *RefusedError or the error of the context.
 func (scheduler *Scheduler) Acquire(ctx context.Context, permitRequest Demand) (Place, error) {
 	permit, pendingPermit, err := scheduler.Enter(permitRequest)
 	if pendingPermit == nil {
@@ -230,15 +238,15 @@
 	return pendingPermit.wait(ctx)
 }
 
-// Sweep serves requests whose reason for waiting has passed: they may now go to a slow target, or a cold one can take
-// one more. The control goroutine calls it every few milliseconds.
+// Sweep grants permits to waiting requests whose reason to wait has ended with time: they may now start on a slow target, or
+// a cold target accepts one more request. The control goroutine calls it every few milliseconds.
 func (scheduler *Scheduler) Sweep() {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.serveWaiting(scheduler.clock.Now())
 }
 
-// serveWaiting gives free places to waiting requests, the most urgent first.
+// serveWaiting grants free permits to waiting requests, the most urgent first.
 func (scheduler *Scheduler) serveWaiting(now clock.Moment) {
 	if scheduler.waiting.length == 0 {
 		return
@@ -247,8 +255,8 @@
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		permit, found := scheduler.acquireNow(now, waiter)
 		if !found {
-			// One that shuns its earlier target or a slow one must not keep the others; but when nothing at all is
-			// free there is no use in asking for each.
+			// A request that avoids a slow target or the target of its earlier attempt must not block the requests behind
+			// it. If no fast target is available at all, the remaining requests need not be tried.
 			return scheduler.anyFastAvailable(now)
 		}
 		scheduler.waiting.remove(waiter)
@@ -280,7 +288,7 @@
 	return states, scheduler.waiting.length
 }
 
-// LoadReadingAge is how old the reading was on which the choice rested, 0 when there was none.
+// LoadReadingAge returns the age of the load reading on which the choice was based, 0 if there was none.
 func (permit Place) LoadReadingAge(now clock.Moment) clock.Milliseconds {
 	if permit.Reading.At == 0 {
 		return 0
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// benchFleet is a scheduler with targets of which a quarter is slow at any moment. A third of them is its own, and half of them lies in
-// its data centre.
+// benchFleet is a scheduler with targets of which a quarter is slow at any moment. It owns a third of them, and half of them
+// are in its data centre.
 type benchFleet struct {
 	scheduler      *Scheduler
 	random         *rand.Rand
@@ -25,11 +25,11 @@
 const (
 	benchPeriod = 150 * clock.Millisecond
 	benchSlots  = 4
-	// benchHeld is how long a request seems to have been under way when it ends.
+	// benchRequestDuration is the apparent duration of a request when it ends.
 	benchRequestDuration = 100 * clock.Millisecond
 	// benchStep is the time between two requests, in nanoseconds.
 	benchStep = 20_000
-	// benchTell is the number of requests after which those targets tell whose slowness may have changed meanwhile.
+	// benchReportEvery is the number of requests after which the targets report whose slowdown may have changed meanwhile.
 	benchReportEvery = 200
 )
 
@@ -54,7 +54,7 @@
 	return clock.Moment(float64(fleet.now.Load()) / 1e6)
 }
 
-// tell has the next target tell how it is until its next change.
+// report adds a reading of the next target that is valid until its next change.
 func (fleet *benchFleet) report() {
 	slowdown := 1.0
 	if fleet.random.IntN(4) == 0 {
@@ -68,7 +68,7 @@
 	fleet.nextReporting = (fleet.nextReporting + 1) % len(fleet.names)
 }
 
-// tellDue has those targets tell that do so within the time of benchTell requests.
+// reportDue adds the readings that are due within the time of benchReportEvery requests.
 func (fleet *benchFleet) reportDue() {
 	passed := clock.Milliseconds(benchReportEvery) * benchStep / 1e6
 	for range int(float64(len(fleet.names))*float64(passed/benchPeriod) + 1) {
@@ -81,18 +81,18 @@
 	return Demand{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
 
-// fill takes the given part of what fits.
+// fill acquires the given part of all permits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
 		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
 		if pendingPermit != nil || err != nil {
-			b.Fatal("no place")
+			b.Fatal("no permit")
 		}
 		fleet.permits = append(fleet.permits, permit)
 	}
 }
 
-// overfill takes all places, and has 500 requests wait.
+// overfill acquires all permits and queues 500 more requests.
 func (fleet *benchFleet) overfill(b *testing.B) {
 	for len(fleet.pendingPermits) < 500 {
 		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
@@ -107,7 +107,7 @@
 	}
 }
 
-// collect takes over the places of requests that waited for them.
+// collect takes over the permits granted to waiting requests.
 func (fleet *benchFleet) collect() {
 	for len(fleet.pendingPermits) > 0 {
 		permit, found, err := fleet.pendingPermits[0].Poll()
@@ -121,7 +121,7 @@
 	}
 }
 
-// release gives any place back.
+// release releases a random permit.
 func (fleet *benchFleet) release() {
 	position := fleet.random.IntN(len(fleet.permits))
 	last := len(fleet.permits) - 1
@@ -130,9 +130,10 @@
 	fleet.permits = fleet.permits[:last]
 }
 
-// BenchmarkSchedulerChoice measures a request's entry and its release. Calm: 0.4 of what fits is in flight, and no request waits.
-// Overloaded: 1.6 times what fits comes, all places are taken and 500 requests wait; five of eight that come get a place later, the
-// others give up. What targets tell meanwhile isn't counted.
+// BenchmarkSchedulerChoice measures the admission of a request and the release of its permit. Calm: 0.4 of all permits are
+// in use, and no request waits. Overloaded: requests arrive at 1.6 times the capacity, all permits are in use and 500
+// requests wait; five of eight new requests get a permit later, the others give up. The readings of targets are not
+// measured.
 func BenchmarkSchedulerChoice(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("calm/targets=%d", targets), func(b *testing.B) {
@@ -142,7 +143,7 @@
 			for count := 1; b.Loop(); count++ {
 				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
 				if pendingPermit != nil || err != nil {
-					b.Fatal("no place")
+					b.Fatal("no permit")
 				}
 				permit.since = permit.since.Add(-benchRequestDuration)
 				permit.Release(Succeeded)
@@ -165,7 +166,7 @@
 				if count%8 < 5 {
 					fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
 				} else if _, err = pendingPermit.GiveUp(); err == nil {
-					b.Fatal("a place for one that gave up")
+					b.Fatal("a permit for a request that gave up")
 				}
 				fleet.pause(b, count)
 			}
@@ -173,7 +174,7 @@
 	}
 }
 
-// pause lets time pass, and now and then targets tell how they are, which isn't measured.
+// pause advances the clock. Every benchReportEvery requests, targets report their load, which is not measured.
 func (fleet *benchFleet) pause(b *testing.B, count int) {
 	fleet.now.Add(benchStep)
 	if count%benchReportEvery != 0 {
@@ -185,8 +186,8 @@
 	b.StartTimer()
 }
 
-// BenchmarkSchedulerChoiceParallel measures the same from all processors at once, which share one mutex. With 0.2 of what fits in flight each
-// of them finds a fast target also among 20.
+// BenchmarkSchedulerChoiceParallel measures the same from all CPUs at once, which share one mutex. With 0.2 of all permits
+// in use, each of them finds a fast target even among 20.
 func BenchmarkSchedulerChoiceParallel(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -198,7 +199,7 @@
 				for loop.Next() {
 					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
 					if pendingPermit != nil || err != nil {
-						b.Error("no place")
+						b.Error("no permit")
 						return
 					}
 					permit.since = permit.since.Add(-benchRequestDuration)
@@ -209,7 +210,7 @@
 	}
 }
 
-// BenchmarkSchedulerObserve measures what a target's word costs.
+// BenchmarkSchedulerObserve measures the cost of a reading.
 func BenchmarkSchedulerObserve(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
--- a/internal/service/slowdowncycle.go
+++ b/internal/service/slowdowncycle.go
@@ -6,69 +6,71 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// A target's slowness does not change at just any moment: whatever shares its machine is scheduled anew at a steady
-// pace, so that changes come at a fixed phase of a fixed period. Once both are known, one reading just after a possible
-// change holds until the next one, and a request can be placed where the calm lasts as long as its work. The period is
-// the same for the targets of a service; each has a phase of its own.
+// The slowdown of a target does not change at arbitrary moments: the schedulers of the machine that it shares run at a
+// constant period, so that changes come at a fixed phase of that period. Once period and phase are known, one reading just
+// after a possible change is valid until the next one, and a request can be sent to a target that stays fast for as long as
+// the request takes. The targets of a service share one period; each target has its own phase.
 
-// Learning a cadence.
+// Learning of a slowdown cycle.
 const (
-	// sharpWithin is the longest time between two readings that disagree for the change between them to tell a phase.
+	// maxChangeWidth is the longest time between two differing readings from which the moment of the change is learned.
 	maxChangeWidth = 40 * clock.Millisecond
-	// changesKept is the number of changes kept of each target.
+	// maxChanges is the number of changes stored for each target.
 	maxChanges = 32
-	// changesPerTarget and changesInAll are needed before a period is looked for.
+	// minChangesPerTarget and minChangesTotal are the numbers of changes needed before the period is searched.
 	minChangesPerTarget = 3
 	minChangesTotal     = 40
-	// shortestPeriod and longestPeriod bound the search, periodStep is its step. A change told by readings 15 ms apart
-	// says no more about shorter ones, and longer ones make hardly a difference to a request.
+	// minPeriod and maxPeriod bound the search, periodStep is its step. Changes between readings 15 ms apart do not resolve
+	// shorter periods, and longer ones make little difference to a request.
 	minPeriod  = 40 * clock.Millisecond
 	maxPeriod  = 600 * clock.Millisecond
 	periodStep = 0.5 * clock.Millisecond
-	// roundStep is what periods of schedulers are mostly a multiple of. A round period is taken when it fits nearly as
-	// well as the best: some dozen changes tell a period to 0.2 ms only, and after ten seconds that is half a spell.
+	// roundPeriodStep divides the usual periods of schedulers. A round period is chosen if it fits nearly as well as the
+	// best one: some dozen changes determine a period only to 0.2 ms, which adds up to half an interval within ten seconds.
 	roundPeriodStep = 5 * clock.Millisecond
-	// nearlyAsWell is how well it must fit against the best.
+	// minRoundAgreement is the least agreement of a round period relative to the best one.
 	minRoundAgreement = 0.97
-	// agreementLeast is how well the changes must agree with a period: 1 is perfectly, chance brings some 0.45.
+	// minAgreement is the least agreement of the changes with a period: 1 is perfect, random changes reach about 0.45.
 	minAgreement = 0.8
 	// phaseWeight is the weight of a new change in a known phase.
 	phaseWeight = 0.2
-	// edge is how near to a possible change a reading says nothing for certain about either side.
+	// boundaryUncertainty is the distance from a possible change below which a reading cannot be assigned to either side of
+	// it.
 	boundaryUncertainty = 8 * clock.Millisecond
-	// contradictionsMost is the number of readings against a cadence after which it is dropped; one that agrees makes
-	// up for agreedWorth of one. A wrong phase shows in 1 of 8 comparisons. A busy instance notes some readings late, which
-	// must not count for that: dropped at every second one, cadences were learnt all the time at 50 probes a second.
+	// maxContradictions is the number of contradicting readings at which a cycle is dropped; a reading that agrees offsets
+	// agreementCredit of one. With a wrong phase, 1 of 8 comparisons contradicts. A busy instance processes some readings
+	// late, and these must not drop a valid cycle: when one in two of them dropped it, cycles were relearned all the time at
+	// 50 probes per second.
 	maxContradictions = 4.0
 	agreementCredit   = 0.08
-	// settledFrom is the number of sharply seen changes, of a weight above sharpEnough, from which a phase counts as
-	// settled; then one probe in verifyEvery comes before a boundary.
+	// minPreciseChanges is the number of changes with a weight above minPreciseWeight from which a phase counts as settled.
+	// After that, one probe in verifyEvery is sent before a boundary.
 	minPreciseChanges = 5
 	minPreciseWeight  = 0.1
 	verifyEvery       = 10
-	// edgeMargin is how long before and after a possible change a target is probed. The two readings tell the phase
-	// sharply enough to follow a period that is a little off or a clock that drifts.
+	// boundaryProbeMargin is the time before and after a possible change at which a target is probed. The two readings
+	// determine the phase precisely enough to follow a period that is slightly wrong or a clock that drifts.
 	boundaryProbeMargin = 8 * clock.Millisecond
 )
 
-// change is a moment between two readings that disagree. Its weight is the larger the nearer the two were.
+// slowdownChange is the midpoint between two differing readings. The closer they are, the larger is its weight.
 type slowdownChange struct {
 	at     clock.Moment
 	weight float64
 }
 
-// sharpest is the time between two readings at which a change has full weight.
+// fullWeightWidth is the time between two readings up to which a change has full weight.
 const fullWeightWidth = 8 * clock.Millisecond
 
-// cadence is what is known of the moments at which one target's slowness may change.
+// slowdownCycle is the period and phase at which the slowdown of one target may change.
 type slowdownCycle struct {
-	// period is 0 until it is known; boundary is then one such moment.
+	// period is 0 until it is known; boundary is then one moment at which the slowdown may change.
 	period         clock.Milliseconds
 	boundary       clock.Moment
 	changes        []slowdownChange
 	lastReading    LoadReading
 	contradictions float64
-	// settled counts the changes that were seen sharply since the phase is known, looks the probes asked for.
+	// preciseChanges counts the precise changes since the phase is known, probes the calls of nextProbe.
 	preciseChanges, probes int
 }
 
@@ -107,18 +109,18 @@
 	}
 }
 
-// offset is how far a moment lies from the nearest boundary, negative before it.
+// offset is the distance of a moment from the nearest boundary, negative before it.
 func (slowdownCycle *slowdownCycle) offset(at clock.Moment) clock.Milliseconds {
 	return clock.Milliseconds(math.Remainder(float64(at.Since(slowdownCycle.boundary)), float64(slowdownCycle.period)))
 }
 
-// nearChange reports whether the moment is so near to a possible change that it is not certain on which side of it.
+// nearBoundary reports whether a moment is too close to a boundary to be assigned to either side of it.
 func (slowdownCycle *slowdownCycle) nearBoundary(at clock.Moment) bool {
 	offset := slowdownCycle.offset(at)
 	return max(offset, -offset) < boundaryUncertainty
 }
 
-// check compares two readings with the cadence: within one spell they must agree.
+// check compares two readings with the cycle: readings of the same interval must agree.
 func (slowdownCycle *slowdownCycle) check(before, now LoadReading, differs bool) {
 	if slowdownCycle.period == 0 || slowdownCycle.intervalAt(before.At) != slowdownCycle.intervalAt(now.At) {
 		return
@@ -143,23 +145,24 @@
 	slowdownCycle.changes = nil
 }
 
-// spell numbers the time between two boundaries.
+// intervalAt returns the number of the interval between two boundaries that contains the moment.
 func (slowdownCycle *slowdownCycle) intervalAt(at clock.Moment) float64 {
 	return math.Floor(float64(at.Since(slowdownCycle.boundary)) / float64(slowdownCycle.period))
 }
 
-// until is the time from now to the next boundary.
+// untilBoundary is the time from now to the next boundary.
 func (slowdownCycle *slowdownCycle) untilBoundary(now clock.Moment) clock.Milliseconds {
 	next := (slowdownCycle.intervalAt(now) + 1) * float64(slowdownCycle.period)
 	return slowdownCycle.boundary.Add(clock.Milliseconds(next)).Since(now)
 }
 
-// since is the time from the last boundary until now.
+// sinceBoundary is the time from the last boundary to now.
 func (slowdownCycle *slowdownCycle) sinceBoundary(now clock.Moment) clock.Milliseconds {
 	return slowdownCycle.period - slowdownCycle.untilBoundary(now)
 }
 
-// learn takes a period that fits the changes of all targets, and finds the own phase.
+// learnPhase adopts a period that fits the changes of all targets, and determines the phase of this target. It does nothing
+// if the changes of this target do not agree with the period.
 func (slowdownCycle *slowdownCycle) learnPhase(period clock.Milliseconds) {
 	if len(slowdownCycle.changes) < minChangesPerTarget {
 		return
@@ -173,7 +176,8 @@
 	slowdownCycle.boundary = clock.Moment(angle / (2 * math.Pi) * float64(period))
 }
 
-// sums adds up the changes as angles around the period, and their weights.
+// phaseSums returns the weighted sums of the sines and cosines of the changes as angles of the period, and the sum of the
+// weights.
 func (slowdownCycle *slowdownCycle) phaseSums(period clock.Milliseconds) (float64, float64, float64) {
 	var sine, cosine, weight float64
 	for _, change := range slowdownCycle.changes {
@@ -185,8 +189,8 @@
 	return sine, cosine, weight
 }
 
-// nextLook is how long from now a reading tells most: just after the next boundary. While the phase is not settled, and
-// now and then later, also just before it.
+// nextProbe returns the time from now at which a reading is most informative: just after the next boundary. While the phase
+// is not settled, and occasionally later, it is just before the boundary.
 func (slowdownCycle *slowdownCycle) nextProbe(now clock.Moment) clock.Milliseconds {
 	until := slowdownCycle.untilBoundary(now)
 	if until <= 2*boundaryProbeMargin {
@@ -199,13 +203,13 @@
 	return until + boundaryProbeMargin
 }
 
-// set takes over what another instance has learnt.
+// set adopts a cycle learned by another instance.
 func (slowdownCycle *slowdownCycle) set(boundary clock.Moment, period clock.Milliseconds) {
 	slowdownCycle.boundary = boundary
 	slowdownCycle.period = period
 }
 
-// findPeriod looks for the period that fits the changes of all targets best. It returns 0 when none fits well.
+// findPeriod returns the period that fits the changes of all targets best, 0 if none fits well enough.
 func findPeriod(slowdownCycles []*slowdownCycle) clock.Milliseconds {
 	var observed []*slowdownCycle
 	count := 0
@@ -240,7 +244,7 @@
 	return best, most
 }
 
-// agreementWith is how well the changes of all targets fit a period, from 0 to 1.
+// agreementOf returns how well the changes of all targets fit a period, from 0 to 1.
 func agreementOf(observed []*slowdownCycle, period clock.Milliseconds) float64 {
 	var length, weights float64
 	for _, slowdownCycle := range observed {
--- a/internal/service/slowdowncycle_test.go
+++ b/internal/service/slowdowncycle_test.go
@@ -10,9 +10,9 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// A target changes its slowness at a fixed phase of a fixed period. Probed at intervals, with some delay, its cadence must
-// be found; where changes come at just any moment, none may be.
-func TestCadenceIsLearnt(t *testing.T) {
+// The slowdown of a target changes at a fixed phase of a fixed period. The cycle must be found from delayed readings at
+// intervals; where changes come at arbitrary moments, none may be found.
+func TestSlowdownCycleIsLearned(t *testing.T) {
 	cases := []struct {
 		name   string
 		period clock.Milliseconds
@@ -21,7 +21,7 @@
 		{"150 ms", 150, true},
 		{"100 ms", 100, true},
 		{"235 ms", 235, true},
-		{"any moment", 150, false},
+		{"arbitrary moments", 150, false},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// observeFor lets a cadence see readings some 30 ms apart.
+// observeReadings adds readings about 30 ms apart to a cycle.
 func observeReadings(slowdownCycle *slowdownCycle, random *rand.Rand, period, phase clock.Milliseconds, steady bool, length clock.Milliseconds) {
 	slowdown, next := 1.0, clock.Moment(phase)
 	for at := clock.Moment(0); at < clock.Moment(length); at = at.Add(28 + clock.Milliseconds(4*random.Float64())) {
@@ -68,16 +68,17 @@
 	}
 }
 
-// A cadence that was learnt is wrong now, for the target has moved to another machine. Requests would be placed by a calm
-// that ends at any time; it must be dropped.
-func TestWrongCadenceIsDropped(t *testing.T) {
+// A learned cycle becomes wrong when its target moves to another machine. It must be dropped, or requests would be sent to a
+// target whose fast interval may end at any time.
+func TestWrongSlowdownCycleIsDropped(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	slowdownCycle := &slowdownCycle{period: 150}
 	observeReadings(slowdownCycle, random, 150, 75, true, 20*clock.Second)
-	require.True(t, slowdownCycle.period == 0 || slowdownCycle.preciseChanges > 0, "neither dropped nor followed to the new phase")
+	require.True(t, slowdownCycle.period == 0 || slowdownCycle.preciseChanges > 0, "neither dropped nor adapted to the new phase")
 }
 
-// With a cadence, a request goes where the calm lasts; without one, a reading loses its worth over a spell.
+// With a known cycle, a request is predicted by the rest of the interval; without one, the weight of a reading decreases
+// over one interval.
 func TestPrediction(t *testing.T) {
 	candidate := &candidate{hasReading: true, reading: LoadReading{At: 1000, Slowdown: 1}}
 	require.InDelta(t, 100, float64(candidate.varyingDuration(1000, 100, 3, 3)), 0.1)
@@ -90,30 +91,31 @@
 	require.InDelta(t, 10+98*3, float64(candidate.varyingDuration(1140, 100, 3, 3)), 0.1)
 }
 
-// A target is cold. Over any second it gets no more than it bears, however many requests wait for it; one that another
-// instance answers for gets none from here.
-func TestColdTargetGetsWhatItBears(t *testing.T) {
+// A cold target must not get more requests in any second than its rate, however many requests wait for it. A cold target
+// that another instance owns must get none.
+func TestColdTargetStaysWithinItsRate(t *testing.T) {
 	manual := clock.NewManual()
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 	scheduler.SetTargets([]TargetConfig{
 		{Name: "own", Slots: 6, Owned: true, Usable: true, ColdRate: 10, ColdFor: 3 * clock.Second},
 		{Name: "other", Slots: 6, Usable: true, ColdRate: 10, ColdFor: 3 * clock.Second},
 	})
-	taken := 0
+	acquired := 0
 	for range 100 {
 		manual.Advance(20 * clock.Millisecond)
 		scheduler.Observe("own", LoadReading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
 		if permit, found := scheduler.TryAcquire(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
 			require.EqualValues(t, "own", permit.Target.Name)
-			taken++
+			acquired++
 			permit.Release(Cancelled)
 		}
 	}
-	require.LessOrEqual(t, taken, int(2*10*coldMargin)+1)
-	require.Positive(t, taken)
+	require.LessOrEqual(t, acquired, int(2*10*coldMargin)+1)
+	require.Positive(t, acquired)
 }
 
-// A server was just taken over from an instance that may still send to it. For a second it gets nothing while it is cold.
+// A server was just taken over from an instance that may still send to it. For takeoverWait it must get nothing while it is
+// cold.
 func TestNewOwnerLeavesColdTargetAlone(t *testing.T) {
 	manual := clock.NewManual()
 	scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
@@ -127,8 +129,9 @@
 	require.False(t, found)
 }
 
-// A data centre's servers are back, cold and half as fast as usual, and what they say of themselves includes that. Counted
-// twice, they seem slower than a warm server in a slow spell, and callers wait on that one while the cold ones idle.
+// The servers of a data centre return cold and half as fast as usual, and their readings include that. If it was counted
+// twice, they would seem slower than a warm server in a slow interval, and requests would go to that one while the cold ones
+// are idle.
 func TestColdTargetIsNotCountedSlowTwice(t *testing.T) {
 	manual := clock.NewManual()
 	manual.Advance(clock.Second)
@@ -145,14 +148,14 @@
 	require.EqualValues(t, "cold", permit.Target.Name)
 }
 
-// Half of the places of a service are taken by several instances. Each knows what the others have in flight only from readings, and when
-// those come once in a spell, two of them send requests to the same last place, where one waits for the other to end. While places
-// are plenty, the same probes would only be load.
-func TestScarcePlacesAreLookedAtOften(t *testing.T) {
+// Several instances use half of the permits of a service. Each knows the number of requests of the others only from
+// readings. If these arrive once per interval, two instances send requests to the same last slot, where one waits for the
+// other to end. While permits are plenty, such frequent probes would only add load.
+func TestScarcePermitsAreProbedOften(t *testing.T) {
 	cases := []struct {
-		name    string
-		taken   int
-		looksIn clock.Milliseconds
+		name     string
+		acquired int
+		probeIn  clock.Milliseconds
 	}{
 		{"plenty", 2, 100 + boundaryProbeMargin},
 		{"scarce", 4, busyProbeInterval},
@@ -171,11 +174,11 @@
 				scheduler.Observe(config.Name, LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, SteadyFor: 100, Period: 150, ColdKnown: true})
 			}
 			scheduler.candidates["a"].slowdownCycle.preciseChanges = minPreciseChanges
-			for range testCase.taken {
+			for range testCase.acquired {
 				_, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 				require.NoError(t, err)
 			}
-			require.InDelta(t, float64(testCase.looksIn), float64(scheduler.NextProbe("a", 30, 45)), 0.01)
+			require.InDelta(t, float64(testCase.probeIn), float64(scheduler.NextProbe("a", 30, 45)), 0.01)
 		})
 	}
 }
--- a/internal/service/slowdownhistory.go
+++ b/internal/service/slowdownhistory.go
@@ -2,24 +2,27 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// spellsKept is the number of spells that are remembered of each target: those of some seconds, in which nearly all requests end.
+// historyLength is the number of intervals stored for each target. They cover some seconds, in which nearly all requests
+// end.
 const historyLength = 32
 
-// spells remembers how slow a target was in its last spells, so that it can be told afterwards what a request met there.
+// slowdownHistory stores the slowdowns of a target in its last intervals, from which the slowdown that a request met can be
+// determined when it has ended.
 type slowdownHistory struct {
 	intervals [historyLength]slowdownInterval
 	next      int
 }
 
-// spell is the time between two moments at which a target's slowness may change.
+// slowdownInterval is the time between two moments at which the slowdown of a target may change.
 type slowdownInterval struct {
 	start    clock.Moment
 	slowdown float64
-	// inside is how far from either end it was read.
+	// boundaryDistance is the distance of the stored reading from the nearer end of the interval.
 	boundaryDistance clock.Milliseconds
 }
 
-// note takes a reading. Of several in one spell the one furthest from its ends counts: the others may belong to the next one.
+// record stores a reading. Of several readings in one interval, the one furthest from its ends is kept, since the others may
+// belong to a neighbouring interval.
 func (slowdownHistory *slowdownHistory) record(slowdownCycle *slowdownCycle, reading LoadReading) {
 	since := slowdownCycle.sinceBoundary(reading.At)
 	start := reading.At.Add(-since)
@@ -34,7 +37,8 @@
 	slowdownHistory.next = (slowdownHistory.next + 1) % historyLength
 }
 
-// find returns the spell that began at the given moment, or nil. What is known of the moment moves a little as readings come.
+// find returns the interval that began at the given moment, or nil. Starts are compared with a tolerance, since the phase is
+// corrected as readings arrive.
 func (slowdownHistory *slowdownHistory) find(start clock.Moment, period clock.Milliseconds) *slowdownInterval {
 	for back := range historyLength {
 		interval := &slowdownHistory.intervals[(slowdownHistory.next+historyLength-1-back)%historyLength]
@@ -45,7 +49,7 @@
 	return nil
 }
 
-// slowdownIn is how slow the target was in the spell of the given moment, 0 when that is not known.
+// recordedSlowdown returns the slowdown of the target in the interval of the given moment, 0 if it is not known.
 func (candidate *candidate) recordedSlowdown(at clock.Moment) float64 {
 	if candidate.slowdownCycle.period == 0 {
 		return 0
@@ -57,7 +61,8 @@
 	return interval.slowdown
 }
 
-// hindsight is what the two assumptions say, now that it is known what a request met. It reports whether that is known in full.
+// retrospectiveForecast returns the durations that both assumptions predict from the slowdowns recorded while a request ran.
+// It returns false if these are not all known.
 func (candidate *candidate) retrospectiveForecast(since, now clock.Moment, serviceTime clock.Milliseconds, longRunSlowdown float64) (durationForecast, bool) {
 	first := candidate.recordedSlowdown(since)
 	if first == 0 || candidate.slowdownCycle.nearBoundary(since) {
@@ -70,7 +75,7 @@
 		if slowdown == 0 {
 			return durationForecast{}, false
 		}
-		// A moment past the boundary, so that the next step is in the next spell for certain.
+		// The step ends one millisecond past the boundary, so that the next one is certainly in the next interval.
 		length := candidate.slowdownCycle.untilBoundary(at) + clock.Millisecond
 		if remaining*slowdown <= length {
 			forecast.varying += remaining * slowdown
--- a/internal/service/slowdownmodel.go
+++ b/internal/service/slowdownmodel.go
@@ -2,42 +2,47 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// forecast is how long a request takes on a target by two assumptions: that it keeps the pace at which it starts, and that it
-// follows its target's. Servers differ in that: one whose neighbours take its processor slows down all that it runs, while one
-// that finds its caches or locks taken makes the work itself longer, whatever comes afterwards.
+// durationForecast is the predicted duration of a request on a target under two assumptions: that the request keeps the
+// slowdown at which it starts (fixed), and that its slowdown varies with the slowdown of the target (varying). Servers
+// differ in this: when neighbours use the CPU of a server, all its running requests slow down; when its caches or locks are
+// contended, the work of a request itself becomes longer, regardless of what follows.
 type durationForecast struct {
 	fixed, varying clock.Milliseconds
 }
 
-// pace learns from the times of requests which of the two holds for a service. What a request takes on a slow target depends on it:
-// several times the usual time, or hardly more than what is left of the slow spell.
+// slowdownModel learns from the durations of requests which of the two assumptions holds for a service. The duration of a
+// request on a slow target depends on it: several times the usual duration, or hardly more than the rest of the slow
+// interval.
 //
-// Once a request has ended it is known what it met, and what either assumption says of it. It is a regression of what requests took
-// beyond the second one on how far the two lie apart: one that tells much counts for much, and what requests differ by themselves
-// evens out.
+// When a request has ended, the slowdowns that it met are known, and so is the duration that each assumption predicts. The
+// model is a regression of the actual duration beyond the varying forecast on the difference between the two forecasts. A
+// request for which they differ much has a large weight, and variation between requests averages out.
 type slowdownModel struct {
-	// product and square are sums over requests, in units of the usual work, of which older ones have faded.
+	// product and square are sums over requests, in units of the usual service time, in which older requests decay.
 	product, square float64
-	// total is the sum of squares of what requests took beyond the second forecast, count their number, faded alike.
+	// total is the sum of squares of the actual durations beyond the varying forecast, count the number of requests; both
+	// decay in the same way.
 	total, count float64
 }
 
 const (
-	// paceUnknown is the weight of the first assumption before any request has told, and paceDoubt how many requests it counts for.
+	// initialFixedWeight is the weight of the fixed assumption before any request has ended, and initialEvidence the amount
+	// of evidence for it, in requests.
 	initialFixedWeight = 0.75
 	initialEvidence    = 1.0
-	// paceKnown is the sum of squares from which the weight counts as known: some dozen requests that met a slow spell.
+	// minEvidence is the sum of squares from which the weight counts as known: some dozen requests that met a slow interval.
 	minEvidence = 8.0
-	// paceUnfit is the mean error, in units of the usual work, beyond which neither assumption is worth anything if it doesn't
-	// explain half of what requests took: what they met is not known well enough then.
+	// maxModelError is the mean error, in units of the usual service time, above which initialFixedWeight is used unless the
+	// model explains half of the variation: the slowdowns that the requests met are then not known well enough.
 	maxModelError = 0.8
-	// paceFade is what is left of the sums after each request.
+	// evidenceDecay is the factor applied to the sums with each request.
 	evidenceDecay = 0.98
-	// paceOutlying bounds what a request took, in forecasts: what goes beyond has another reason.
+	// maxDurationFactor limits the duration of a request relative to the longer forecast. Longer durations have another
+	// cause.
 	maxDurationFactor = 1.5
 )
 
-// keeping is the weight of the first assumption, from 0 to 1.
+// fixedWeight returns the weight of the fixed assumption, from 0 to 1.
 func (slowdownModel *slowdownModel) fixedWeight() float64 {
 	weight := min(max((slowdownModel.product+initialFixedWeight*initialEvidence)/(slowdownModel.square+initialEvidence), 0), 1)
 	residual := slowdownModel.total - 2*weight*slowdownModel.product + weight*weight*slowdownModel.square
@@ -47,17 +52,18 @@
 	return weight
 }
 
-// expected weighs the assumptions.
+// weighted returns the average of both assumptions by their weights.
 func (slowdownModel *slowdownModel) weighted(durationForecast durationForecast) clock.Milliseconds {
 	return durationForecast.weighted(clock.Milliseconds(slowdownModel.fixedWeight()))
 }
 
-// known reports whether enough requests have told.
+// hasEvidence reports whether enough requests have been observed.
 func (slowdownModel *slowdownModel) hasEvidence() bool {
 	return slowdownModel.square >= minEvidence
 }
 
-// learn takes the time for which a request of the given usual work was held. One that was given up tells only that it takes longer.
+// learn adds the duration of a request with the given usual service time. A request that was cancelled only shows that it
+// would have taken longer.
 func (slowdownModel *slowdownModel) learn(durationForecast durationForecast, serviceTime, held clock.Milliseconds, finished bool) {
 	if !finished && held < durationForecast.varying {
 		return
