--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -59,9 +59,9 @@
 	maxReadingAge = 1500 * clock.Millisecond
 	// coldBurst is the number of requests that may be sent to a cold target at once.
 	coldBurst = 1.0
-	// coldMargin is the used share of the rate that a cold target can run. While the views of the fleet differ, two
+	// coldRateShare is the used share of the rate that a cold target can run. While the views of the fleet differ, two
 	// instances may both act as owner of a target, and the two together must not overload it.
-	coldMargin = 0.8
+	coldRateShare = 0.8
 	// takeoverWait is the time for which a new owner does not send to a cold target, because the previous owner may still
 	// be sending to it. An instance that is cut off becomes the owner of other instances' servers after 0.9 s, but finds
 	// out only after 3.2 s how small a part of the fleet is visible to it.
@@ -130,9 +130,9 @@
 	if reading.Period > 0 {
 		candidate.slowdownCycle.set(reading.At.Add(reading.SteadyFor), reading.Period)
 	} else {
-		learnt := candidate.slowdownCycle.period > 0
+		hadCycle := candidate.slowdownCycle.period > 0
 		candidate.slowdownCycle.observe(reading)
-		if learnt && candidate.slowdownCycle.period == 0 {
+		if hadCycle && candidate.slowdownCycle.period == 0 {
 			candidate.learningSince = reading.At.Add(relearnDuration - learnDuration)
 		}
 	}
@@ -200,7 +200,7 @@
 	return now < candidate.coldUntil || candidate.config.Owned && candidate.stale(now)
 }
 
-// stale reports whether the last reading is so old that the target may have become cold since.
+// stale reports whether there is no reading, or the last one is so old that the target may have become cold since.
 func (candidate *candidate) stale(now clock.Moment) bool {
 	return !candidate.hasReading || now.Since(candidate.reading.At) > maxReadingAge
 }
@@ -216,7 +216,7 @@
 
 // coldRate is the number of requests per second that this instance may send to the target while it is cold.
 func (candidate *candidate) coldRate() float64 {
-	return candidate.config.ColdRate * coldMargin * *candidate.coldShare
+	return candidate.config.ColdRate * coldRateShare * *candidate.coldShare
 }
 
 // nextColdStartAt is when a cold target may get one more request, or never if it may get one already.
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -50,7 +50,7 @@
 func (exhaustiveChooser *exhaustiveChooser) best(permitRequest Demand, despiteFailures bool) *candidate {
 	classStats := exhaustiveChooser.classStatsOf(permitRequest.Class)
 	var best, tried *candidate
-	var least clock.Milliseconds
+	var minCost clock.Milliseconds
 	for _, candidate := range exhaustiveChooser.ordered {
 		if !candidate.available(exhaustiveChooser.now, despiteFailures) {
 			continue
@@ -59,8 +59,8 @@
 			tried = candidate
 			continue
 		}
-		if cost := exhaustiveChooser.cost(candidate, classStats, exhaustiveChooser.random.Float64()); best == nil || cost < least {
-			best, least = candidate, cost
+		if cost := exhaustiveChooser.cost(candidate, classStats, exhaustiveChooser.random.Float64()); best == nil || cost < minCost {
+			best, minCost = candidate, cost
 		}
 	}
 	if best == nil {
@@ -95,7 +95,7 @@
 	inFlight, limit := exhaustiveChooser.inFlightAndLimit()
 	foundInFlight, foundLimit := scheduler.taken(now)
 	require.Equal(randomWorkload, []int{inFlight, limit}, []int{foundInFlight, foundLimit}, "in flight and limit")
-	permitRequest := randomWorkload.demand()
+	permitRequest := randomWorkload.permitRequest()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
 	expected := exhaustiveChooser.best(permitRequest, false)
 	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, false)
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -197,16 +197,16 @@
 // meanTimeShare is the average time limit of callers, relative to the longest one.
 const meanTimeShare = 0.92
 
-// SoftDeadline returns the moment until which an answer has its full value to a caller with the given time left. aim is the
-// time for such an answer from the first attempt on. A caller that retries has less time left than others of its class,
-// which shows how much of its time has passed.
-func (scheduler *Scheduler) SoftDeadline(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
+// SoftDeadline returns the moment until which an answer has its full value to a caller with the given time left. softTimeout
+// is the time from the first attempt of the caller until then. A caller that retries has less time left than others of its
+// class, which shows how much of its time has passed.
+func (scheduler *Scheduler) SoftDeadline(class settings.ClassName, now clock.Moment, softTimeout, left clock.Milliseconds) clock.Moment {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	classStats := scheduler.classStatsOf(class)
 	classStats.maxTimeLeft = max(classStats.maxTimeLeft, left)
 	if left >= minFirstAttemptShare*classStats.maxTimeLeft {
-		return now.Add(aim)
+		return now.Add(softTimeout)
 	}
-	return now.Add(aim - (meanTimeShare*classStats.maxTimeLeft - left))
+	return now.Add(softTimeout - (meanTimeShare*classStats.maxTimeLeft - left))
 }
--- a/internal/service/randomworkload_test.go
+++ b/internal/service/randomworkload_test.go
@@ -72,7 +72,7 @@
 	randomWorkload.scheduler.Observe(randomWorkload.configs[number].Name, reading)
 }
 
-func (randomWorkload *randomWorkload) demand() Demand {
+func (randomWorkload *randomWorkload) permitRequest() Demand {
 	now := randomWorkload.clock.Now()
 	permitRequest := Demand{
 		Priority: settings.Priority(randomWorkload.random.IntN(int(settings.LowestPriority) + 1)),
@@ -92,7 +92,7 @@
 	case kind < 400:
 		randomWorkload.observe()
 	case kind < 650:
-		permit, pendingPermit, err := scheduler.Enter(randomWorkload.demand())
+		permit, pendingPermit, err := scheduler.Enter(randomWorkload.permitRequest())
 		if pendingPermit != nil {
 			randomWorkload.pendingPermits = append(randomWorkload.pendingPermits, pendingPermit)
 		} else if err == nil {
@@ -103,7 +103,7 @@
 	case kind < 920:
 		scheduler.Sweep()
 	case kind < 940:
-		if permit, found := scheduler.TryAcquire(randomWorkload.demand()); found {
+		if permit, found := scheduler.TryAcquire(randomWorkload.permitRequest()); found {
 			randomWorkload.permits = append(randomWorkload.permits, permit)
 		}
 	case kind < 955:
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -103,10 +103,10 @@
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	now := scheduler.clock.Now()
-	kept := make(map[settings.TargetName]bool, len(configs))
+	configured := make(map[settings.TargetName]bool, len(configs))
 	scheduler.usableCount = 0
 	for index := range configs {
-		kept[configs[index].Name] = true
+		configured[configs[index].Name] = true
 		scheduler.setTarget(now, configs[index])
 		if configs[index].Usable {
 			scheduler.usableCount++
@@ -114,7 +114,7 @@
 	}
 	remaining := scheduler.ordered[:0]
 	for _, candidate := range scheduler.ordered {
-		if !kept[candidate.Name] {
+		if !configured[candidate.Name] {
 			candidate.config.Usable = false
 			// The record of a target with requests in flight is kept, so that their count survives if the target returns. A
 			// new record would start at zero, and a target that is cold again would then get more requests than it can run.
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func (fleet *benchFleet) demand() Demand {
+func (fleet *benchFleet) permitRequest() Demand {
 	now := fleet.moment()
 	return Demand{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
@@ -84,7 +84,7 @@
 // fill acquires the given part of all permits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
-		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 		if pendingPermit != nil || err != nil {
 			b.Fatal("no permit")
 		}
@@ -95,7 +95,7 @@
 // overfill acquires all permits and queues 500 more requests.
 func (fleet *benchFleet) overfill(b *testing.B) {
 	for len(fleet.pendingPermits) < 500 {
-		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 		switch {
 		case err != nil:
 			b.Fatal(err)
@@ -141,7 +141,7 @@
 			fleet.fill(b, 0.4)
 			b.ReportAllocs()
 			for count := 1; b.Loop(); count++ {
-				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 				if pendingPermit != nil || err != nil {
 					b.Fatal("no permit")
 				}
@@ -159,7 +159,7 @@
 					fleet.release()
 					fleet.collect()
 				}
-				_, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+				_, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -197,7 +197,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(loop *testing.PB) {
 				for loop.Next() {
-					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.demand())
+					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 					if pendingPermit != nil || err != nil {
 						b.Error("no permit")
 						return
--- a/internal/service/slowdowncycle.go
+++ b/internal/service/slowdowncycle.go
@@ -39,8 +39,8 @@
 	boundaryUncertainty = 8 * clock.Millisecond
 	// maxContradictions is the number of contradicting readings at which a cycle is dropped; a reading that agrees offsets
 	// agreementCredit of one. With a wrong phase, 1 of 8 comparisons contradicts. A busy instance processes some readings
-	// late, and these must not drop a valid cycle: when one in two of them dropped it, cycles were relearned all the time at
-	// 50 probes per second.
+	// late, and these must not drop a valid cycle: when every second contradicting reading dropped it, cycles were relearned
+	// all the time at 50 probes per second.
 	maxContradictions = 4.0
 	agreementCredit   = 0.08
 	// minPreciseChanges is the number of changes with a weight above minPreciseWeight from which a phase counts as settled.
--- a/internal/service/slowdowncycle_test.go
+++ b/internal/service/slowdowncycle_test.go
@@ -110,7 +110,7 @@
 			permit.Release(Cancelled)
 		}
 	}
-	require.LessOrEqual(t, acquired, int(2*10*coldMargin)+1)
+	require.LessOrEqual(t, acquired, int(2*10*coldRateShare)+1)
 	require.Positive(t, acquired)
 }
 
