--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -55,7 +55,7 @@
 	attempt := attempt{permit: permit, exchange: exchange, err: err, connected: !isConnectError(err)}
 	attempt.trace = trace.Attempt{
 		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Listed, Taken: permit.Taken, Waited: permit.Waited,
-		Slowdown: permit.Reading.Slowdown, ReadingAge: max(permit.ReadingAge(before), 0),
+		Slowdown: permit.Reading.Slowdown, ReadingAge: max(permit.LoadReadingAge(before), 0),
 	}
 	if err == nil {
 		call.handleResponse(&attempt)
--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -38,7 +38,7 @@
 	// CheckResponse returns an error if the response does not belong to the request or does not come from the backend server.
 	CheckResponse func(trace.RequestID, *http.Response) error
 	// ParseLoad parses the load that a backend server reports in its response header; false if it reports none.
-	ParseLoad func(http.Header) (service.Reading, bool)
+	ParseLoad func(http.Header) (service.LoadReading, bool)
 	// MaxBufferedResponseBytes is the length up to which a response is read completely before any of it is forwarded, so
 	// that the request can be retried if the response is truncated. With 0, every response is forwarded as it arrives.
 	MaxBufferedResponseBytes int64
@@ -62,7 +62,7 @@
 			return response.Header.Get(serviceSettings.NotRunHeader) != ""
 		},
 		CheckResponse:  func(trace.RequestID, *http.Response) error { return nil },
-		ParseLoad:      func(http.Header) (service.Reading, bool) { return service.Reading{}, false },
+		ParseLoad:      func(http.Header) (service.LoadReading, bool) { return service.LoadReading{}, false },
 		IsReservedPath: func(path string) bool { return path == AddressesPath },
 	}
 }
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -87,7 +87,7 @@
 	retryAfter := call.route.Service.Settings.Queue.RetryAfter
 	var refusedError *service.RefusedError
 	if errors.As(err, &refusedError) {
-		retryAfter = refusedError.ComeBack
+		retryAfter = refusedError.RetryAfter
 	}
 	errorResponse := &errorResponse{status: http.StatusServiceUnavailable, outcome: call.outcomeSoFar(), retryAfter: retryAfter, cause: err}
 	switch {
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -107,8 +107,8 @@
 // awaitFirst waits for the first request. It returns a permit for the hedged request if the first one is slow, or else the
 // result of the first one.
 func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
-	expected := call.route.Service.Scheduler.Expected(call.route.Class.Name)
-	latestStart := call.softDeadline.Add(-service.CallerDistance - hedgeMarginFactor*expected)
+	expected := call.route.Service.Scheduler.ExpectedDuration(call.route.Class.Name)
+	latestStart := call.softDeadline.Add(-service.CallerNetworkDelay - hedgeMarginFactor*expected)
 	overdueAt := call.now().Add(hedgeOverdueFactor * expected)
 	timer := time.NewTimer(max(min(latestStart.Since(call.now()), hedgeOverdueFactor*expected), 0).Duration())
 	defer timer.Stop()
@@ -132,7 +132,7 @@
 
 // acquireHedgePermit acquires a permit for the hedged request without waiting, and charges it to the retry budget.
 func (call *call) acquireHedgePermit(permitRequest service.Demand) (service.Place, bool) {
-	second, acquired := call.route.Service.Scheduler.TryTake(permitRequest)
+	second, acquired := call.route.Service.Scheduler.TryAcquire(permitRequest)
 	if !acquired {
 		return service.Place{}, false
 	}
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -135,9 +135,9 @@
 	before.Configuration.Services["lookups"] = catalog.ServiceLimits{ColdRate: 4}
 	fixture.controller.applyView(before)
 	scheduler := fixture.controller.services["lookups"].scheduler
-	warm := service.Reading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
+	warm := service.LoadReading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
 	scheduler.Observe("target-0", warm)
-	permit, found := scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	permit, found := scheduler.TryAcquire(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
 	require.True(t, found, "a warm server accepts requests from any instance")
 
 	restarted := newView(3, 1)
@@ -146,7 +146,7 @@
 	restarted.Servers[0].Started = 99
 	restarted.Servers[0].ColdFor = 3 * clock.Second
 	fixture.controller.applyView(restarted)
-	_, found = scheduler.TryTake(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	_, found = scheduler.TryAcquire(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
 	require.False(t, found, "this instance does not own the cold server, so it may not send requests to it")
 	permit.Release(service.Failed)
 }
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -86,9 +86,9 @@
 }
 
 // loadReading converts back to a reading; the transmission time is not known and taken as zero.
-func (sharedReading *SharedReading) loadReading(now clock.Moment) service.Reading {
+func (sharedReading *SharedReading) loadReading(now clock.Moment) service.LoadReading {
 	steady, period := sharedReading.slowdownCycle()
-	return service.Reading{
+	return service.LoadReading{
 		At:      now.Add(-clock.Milliseconds(sharedReading.AgeMs)),
 		Running: int(sharedReading.Running), Waiting: int(sharedReading.Waiting), Slots: int(sharedReading.Slots),
 		Slowdown:  float64(sharedReading.SlowdownPercent) / slowdownUnit,
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -71,7 +71,7 @@
 	controller.table.Store(nil)
 	controller.viewAppliedAt = 0
 	for _, state := range controller.services {
-		state.scheduler.Forget()
+		state.scheduler.DiscardReadings()
 	}
 	controller.catalogReader.Refresh()
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -153,7 +153,7 @@
 // setTargets passes the backend servers to the schedulers, the connection pools and the prober.
 func (controller *Controller) setTargets() {
 	view := controller.view
-	targetConfigs := map[settings.ServiceName][]service.Offer{}
+	targetConfigs := map[settings.ServiceName][]service.TargetConfig{}
 	seen := map[settings.TargetName]bool{}
 	clear(controller.targets)
 	var jobs []sensing.Job
@@ -179,13 +179,13 @@
 		}
 	}
 	for name, state := range controller.services {
-		state.scheduler.SetOffers(targetConfigs[name])
+		state.scheduler.SetTargets(targetConfigs[name])
 	}
 	controller.options.SetJobs(jobs)
 }
 
-func (controller *Controller) targetConfig(server *catalog.Server, state *serviceState) service.Offer {
-	return service.Offer{
+func (controller *Controller) targetConfig(server *catalog.Server, state *serviceState) service.TargetConfig {
+	return service.TargetConfig{
 		Name: server.Name, Address: server.Address, DataCentre: server.DataCentre, Slots: server.Slots,
 		Local:    server.DataCentre == controller.options.Self.DataCentre,
 		Owned:    controller.owners[server.Name] == controller.options.Self.Name,
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -50,7 +50,7 @@
 // Take waits for a place on one of the service's targets.
 func (entry *Service) Take(ctx context.Context, demand service.Demand) (service.Place, error) {
 	if entry.Scheduler != nil {
-		return entry.Scheduler.Take(ctx, demand)
+		return entry.Scheduler.Acquire(ctx, demand)
 	}
 	return entry.Dispatcher.Take(ctx, demand)
 }
@@ -66,7 +66,7 @@
 // Aim returns the moment until which an answer is worth most to a caller that has the given time left.
 func (entry *Service) Aim(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
 	if entry.Scheduler != nil {
-		return entry.Scheduler.Aim(class, now, aim, left)
+		return entry.Scheduler.SoftDeadline(class, now, aim, left)
 	}
 	return now.Add(aim)
 }
--- /dev/null
+++ b/internal/service/acquire.go
@@ -0,0 +1,119 @@
+package service
+
+import "github.com/jaywheel/jaywheel/pkg/clock"
+
+// TryAcquire acquires a permit for a hedged request if one is free on another target that is fast.
+func (scheduler *Scheduler) TryAcquire(permitRequest Demand) (Place, bool) {
+	now := scheduler.clock.Now()
+	scheduler.mutex.Lock()
+	defer scheduler.mutex.Unlock()
+	if scheduler.waiting.length > 0 || !scheduler.mayStartLate(now) {
+		return Place{}, false
+	}
+	classStats := scheduler.classStatsOf(permitRequest.Class)
+	best, finish := scheduler.best(now, classStats, permitRequest.Tried, false)
+	if best == nil || best.Target == permitRequest.Tried || finish > 2*classStats.serviceTime {
+		return Place{}, false
+	}
+	return scheduler.bind(now, best, classStats, rankOf(permitRequest, false)), true
+}
+
+// Slow reports whether the request of the permit is expected to take long: its target was slow when it started, or has
+// become slow and the slowdown of requests may vary with it, or the target is unreachable or removed.
+func (permit Place) Slow() bool {
+	if permit.scheduler == nil {
+		return false
+	}
+	scheduler := permit.scheduler
+	scheduler.mutex.Lock()
+	defer scheduler.mutex.Unlock()
+	candidate, found := scheduler.candidates[permit.Target.Name]
+	now := scheduler.clock.Now()
+	if !found || candidate.down || candidate.stale(now) {
+		return true
+	}
+	if candidate.recordedSlowdown(permit.since) >= slowThreshold {
+		return true
+	}
+	return scheduler.slowdownMayVary(now) && candidate.expectedSlowdown(now, 1) >= slowThreshold
+}
+
+func (scheduler *Scheduler) acquireNow(now clock.Moment, waiter *rankedWaiter) (Place, bool) {
+	if waiter.late() && !scheduler.mayStartLate(now) {
+		return Place{}, false
+	}
+	chosen := scheduler.choose(now, waiter)
+	if chosen == nil {
+		return Place{}, false
+	}
+	return scheduler.bind(now, chosen, waiter.expected, waiter.rank), true
+}
+
+// bind acquires a permit on the chosen target.
+func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, classStats *classStats, rank rank) Place {
+	cold := chosen.cold(now)
+	if cold {
+		chosen.tokens--
+	}
+	scheduler.ownInFlight++
+	scheduler.startShares.count(rank)
+	inFlight := chosen.ownInFlight + 1 + chosen.othersInFlight(now)
+	var explored *slotClass
+	if slotClass := chosen.slotClass; inFlight > slotClass.concurrencyLimit {
+		explored = slotClass
+		explored.explorations++
+	}
+	activeRequest := scheduler.newActiveRequest()
+	chosen.startRequest(activeRequest, inFlight)
+	if cold {
+		scheduler.reindex(now, chosen)
+	} else {
+		scheduler.reindexInFlight(now, chosen)
+	}
+	return Place{
+		flight: activeRequest, tried: explored,
+		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: classStats,
+		Taken: inFlight, Listed: scheduler.usableCount, since: now,
+		fast:    !cold && chosen.expectedSlowdown(now, scheduler.meanSlowdown) < slowThreshold,
+		Reading: chosen.reading,
+	}
+}
+
+// newActiveRequest returns the record of an ended request for reuse, or a new one.
+func (scheduler *Scheduler) newActiveRequest() *activeRequest {
+	last := len(scheduler.freeActiveRequests) - 1
+	if last < 0 {
+		return &activeRequest{}
+	}
+	activeRequest := scheduler.freeActiveRequests[last]
+	scheduler.freeActiveRequests = scheduler.freeActiveRequests[:last]
+	return activeRequest
+}
+
+// release returns a permit and learns from how the request ended.
+func (scheduler *Scheduler) release(permit Place, result Result) {
+	now := scheduler.clock.Now()
+	held := now.Since(permit.since)
+	scheduler.mutex.Lock()
+	defer scheduler.mutex.Unlock()
+	recorded := permit.candidate.endRequest(permit.flight)
+	scheduler.ownInFlight--
+	scheduler.learnSlowdownModel(now, permit, held, result == Succeeded)
+	if permit.tried != nil {
+		permit.tried.explorations--
+	}
+	scheduler.meanHold += averageWeight * (held - scheduler.meanHold)
+	switch result {
+	case Succeeded:
+		permit.candidate.recordSuccess()
+		scheduler.learnServiceTime(permit, held)
+	case Failed:
+		permit.candidate.recordFailure(now)
+	case Cancelled:
+	}
+	scheduler.reindexAfterRequest(now, permit.candidate, result)
+	if recorded {
+		scheduler.freeActiveRequests = append(scheduler.freeActiveRequests, permit.flight)
+	}
+	scheduler.serveWaiting(now)
+}
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -7,210 +7,220 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Offer is what the control goroutine says of a target that a Scheduler may use.
-type Offer struct {
+// TargetConfig is the configuration of a target that a Scheduler may use.
+type TargetConfig struct {
 	Name       settings.TargetName
 	Address    string
 	DataCentre settings.DataCentreName
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that the target runs at once.
 	Slots int
-	// Local says that it lies in this instance's own data centre.
+	// Local is true if the target is in the data centre of this instance.
 	Local bool
-	// Owned says that this instance answers for it: it alone starts it while it is cold.
+	// Owned is true if this instance is the owner of the target: only the owner sends requests to it while it is cold.
 	Owned bool
-	// Usable is false while the target is leaving or its data centre is out: it keeps its record and gets nothing.
+	// Usable is false while the target is leaving or its data centre is out of service: its record is kept, but it gets no
+	// requests.
 	Usable bool
-	// ColdRate is the number of requests a second that it bears while cold.
+	// ColdRate is the number of requests per second that the target can run while it is cold.
 	ColdRate float64
-	// ColdFor is how long it stays cold, as far as it is known when it is first offered.
+	// ColdFor is the time for which the target stays cold, as known when it is first configured.
 	ColdFor clock.Milliseconds
-	// Started changes when it starts anew under its name.
+	// Started changes when the target restarts under the same name.
 	Started int64
 }
 
-// Failures.
+// Handling of failures.
 const (
-	// firstAvoidance is how long a target is avoided after a first failure; it doubles with each in a row, up to
-	// mostDoublings times: 100 ms to 3.2 s. A target that crashed is back within seconds, one that shed is free sooner.
-	firstAvoidance = 100 * clock.Millisecond
-	// failureWeight is the weight of one request in the moving average of failures: some ten requests tell a target
-	// that fails a part of them from one that failed once.
+	// initialBackoff is the time for which a target is avoided after a first failure. It doubles with each consecutive
+	// failure, up to mostDoublings times: 100 ms to 3.2 s. A crashed target is back within seconds, a target that shed load
+	// is free sooner.
+	initialBackoff = 100 * clock.Millisecond
+	// failureWeight is the weight of one request in the moving average of failures. About ten requests distinguish a target
+	// that fails a part of its requests from a target that failed once.
 	failureWeight = 0.1
-	// failureCosts is how many times the usual work a failure costs: the time until it is noticed and the attempt that
-	// follows.
-	failureCosts = 3.0
+	// failureCost is the cost of a failure as a multiple of the usual service time: the time until the failure is noticed
+	// plus the attempt that follows.
+	failureCost = 3.0
 )
 
-// Room on a target.
+// Concurrency limits and cold targets.
 const (
-	// sharedRoom is the room above which half of it is left to the target's owner. Instances that fill a target without
-	// knowing of each other slotClass it, and all that is on it slows down.
-	sharedRoom = 2
-	// silentShare is the room on a target that doesn't tell its load which is left to those that don't own it.
-	silentShare = 1
-	// othersFade is how long what others had in flight on a target is taken to last after a reading.
-	othersFade = clock.Second
-	// staleReading is the age after which a reading tells nothing any more: the target may have become cold or gone.
-	staleReading = 1500 * clock.Millisecond
-	// coldBurst is how many requests may go to a cold target at once.
+	// maxUnreservedLimit is the concurrency limit up to which instances that do not own a target may use all of it; of a
+	// larger limit they leave half to the owner. Instances that fill a target without knowing of each other's requests
+	// overload it, and all its requests slow down.
+	maxUnreservedLimit = 2
+	// nonReportingReserve is the part of the concurrency limit of a non-reporting target that is left to the instances that
+	// do not own it.
+	nonReportingReserve = 1
+	// othersDecayTime is the time after a reading over which the requests that other instances had in flight are assumed to
+	// end.
+	othersDecayTime = clock.Second
+	// maxReadingAge is the age from which a reading is stale: the target may have become cold or may be gone.
+	maxReadingAge = 1500 * clock.Millisecond
+	// coldBurst is the number of requests that may be sent to a cold target at once.
 	coldBurst = 1.0
-	// coldMargin is the part of what a cold target bears that is used. While views of the fleet differ two instances may
-	// take a target for theirs, and the two together must not break it.
-	coldMargin = 0.8
-	// takeoverWait is how long a new owner leaves a cold target alone: the owner before may still be sending to it, and an
-	// instance that is cut off finds out how little of the fleet it sees only after 3.2 s, of which 0.9 s have passed when the
-	// servers of another one become its own.
+	// coldRateShare is the used share of the rate that a cold target can run. While the views of the fleet differ, two
+	// instances may both act as owner of a target, and the two together must not overload it.
+	coldRateShare = 0.8
+	// takeoverWait is the time for which a new owner does not send to a cold target, because the previous owner may still
+	// be sending to it. An instance that is cut off becomes the owner of other instances' servers after 0.9 s, but finds
+	// out only after 3.2 s how small a part of the fleet is visible to it.
 	takeoverWait = 2500 * clock.Millisecond
 )
 
-// candidate is one target of a Scheduler. Fields that each choice needs come first.
+// candidate is one target of a Scheduler. The fields that every choice reads come first.
 type candidate struct {
-	filing filing
+	indexEntry indexEntry
 
-	// Target is who it is. Traffic reads it without the lock, so it is replaced and never changed.
+	// Target is the identity of the target. It is read without the lock while requests are forwarded, so it is replaced and
+	// never modified.
 	*Target
 
-	// own counts the requests under way from here, flights holds them.
-	own     int
-	flights []*flight
-	// ownAtReading is what this instance itself had in flight there at the reading.
+	// ownInFlight counts the requests that this instance has in flight on the target, activeRequests holds their records.
+	ownInFlight    int
+	activeRequests []*activeRequest
+	// ownAtReading is the value of ownInFlight when the reading arrived.
 	ownAtReading int
-	// coldShare and concurrency are the scheduler's, slotClass is what that knows of targets with as many slots.
-	coldShare   *float64
-	concurrency *concurrency
-	slotClass   *slotClass
-	// reading is the newest one, read tells whether there is any.
-	reading Reading
-	read    bool
-	// tells says that it has told its load at least once.
-	tells bool
-	// down says that probes find nobody there.
+	// coldShare and concurrencyModel belong to the scheduler, slotClass is the part of the model for targets with the same
+	// number of slots.
+	coldShare        *float64
+	concurrencyModel *concurrencyModel
+	slotClass        *slotClass
+	// reading is the newest load reading, hasReading is false if there is none.
+	reading    LoadReading
+	hasReading bool
+	// reportsLoad is true once the target has reported its load.
+	reportsLoad bool
+	// down is true while probes fail to reach the target.
 	down bool
-	// coldUntil is when it is warm.
+	// coldUntil is when the target becomes warm.
 	coldUntil clock.Moment
-	// ownedFrom is when this instance may start sending to it while it is cold.
+	// ownedFrom is when this instance may start to send to the target while it is cold.
 	ownedFrom clock.Moment
-	// tokens are the requests that a cold target may get now, filled up at tokensAt.
+	// tokens is the number of requests that a cold target may get now, last refilled at tokensAt.
 	tokens   float64
 	tokensAt clock.Moment
-	// avoidUntil, inARow and failRate follow from failures.
-	avoidUntil clock.Moment
-	inARow     int
-	failRate   float64
+	// backoffUntil, consecutiveFailures and failureRate are derived from failed requests.
+	backoffUntil        clock.Moment
+	consecutiveFailures int
+	failureRate         float64
 
-	// cadence is when its slowness may change.
-	cadence cadence
-	offer   Offer
-	// spells is how slow it was of late.
-	spells spells
-	// learningFrom is since when it is probed densely to learn that.
-	learningFrom clock.Moment
+	// slowdownCycle is when the slowdown of the target may change.
+	slowdownCycle slowdownCycle
+	config        TargetConfig
+	// slowdownHistory holds the recent slowdowns of the target.
+	slowdownHistory slowdownHistory
+	// learningSince is when the current learning phase of the slowdown cycle started, in which the target is probed at a
+	// high rate.
+	learningSince clock.Moment
 }
 
-// observe takes a reading unless a newer one is known.
-func (candidate *candidate) observe(reading Reading) {
-	if candidate.read && reading.At < candidate.reading.At {
+// observe stores a reading unless a newer one is known.
+func (candidate *candidate) observe(reading LoadReading) {
+	if candidate.hasReading && reading.At < candidate.reading.At {
 		return
 	}
-	candidate.tells = candidate.tells || reading.Tells()
+	candidate.reportsLoad = candidate.reportsLoad || reading.ReportsLoad()
 	if reading.ColdKnown {
 		candidate.coldUntil = reading.At.Add(reading.ColdFor)
 	}
 	if reading.Slots <= 0 {
-		reading.Slots = candidate.offer.Slots
+		reading.Slots = candidate.config.Slots
 	}
 	if reading.Period > 0 {
-		candidate.cadence.set(reading.At.Add(reading.SteadyFor), reading.Period)
+		candidate.slowdownCycle.set(reading.At.Add(reading.SteadyFor), reading.Period)
 	} else {
-		learnt := candidate.cadence.period > 0
-		candidate.cadence.observe(reading)
-		if learnt && candidate.cadence.period == 0 {
-			candidate.learningFrom = reading.At.Add(relearnFor - learnFor)
+		hadCycle := candidate.slowdownCycle.period > 0
+		candidate.slowdownCycle.observe(reading)
+		if hadCycle && candidate.slowdownCycle.period == 0 {
+			candidate.learningSince = reading.At.Add(relearnDuration - learnDuration)
 		}
 	}
 	if reading.Slowdown <= 0 {
 		reading.Slowdown = 1
 	}
-	if candidate.cadence.period > 0 {
-		candidate.spells.note(&candidate.cadence, reading)
+	if candidate.slowdownCycle.period > 0 {
+		candidate.slowdownHistory.record(&candidate.slowdownCycle, reading)
 	}
 	candidate.reading = reading
-	candidate.read = true
-	candidate.ownAtReading = candidate.own
-	candidate.notePeak(reading.Running + reading.Waiting)
+	candidate.hasReading = true
+	candidate.ownAtReading = candidate.ownInFlight
+	candidate.updatePeak(reading.Running + reading.Waiting)
 }
 
-// takeOff counts a request that starts there as the given one.
-func (candidate *candidate) takeOff(started *flight, count int) {
-	started.first, started.peak = count, count
-	candidate.own++
-	candidate.flights = append(candidate.flights, started)
-	candidate.notePeak(count)
+// startRequest counts a request that starts on the target. count is the number of requests in flight there, including the
+// new one.
+func (candidate *candidate) startRequest(activeRequest *activeRequest, count int) {
+	activeRequest.inFlightAtStart, activeRequest.peakInFlight = count, count
+	candidate.ownInFlight++
+	candidate.activeRequests = append(candidate.activeRequests, activeRequest)
+	candidate.updatePeak(count)
 }
 
-// land counts a request that has ended there, and reports whether it was known.
-func (candidate *candidate) land(ended *flight) bool {
-	candidate.own--
-	position := slices.Index(candidate.flights, ended)
+// endRequest removes a request that has ended on the target, and reports whether its record was found.
+func (candidate *candidate) endRequest(activeRequest *activeRequest) bool {
+	candidate.ownInFlight--
+	position := slices.Index(candidate.activeRequests, activeRequest)
 	if position < 0 {
 		return false
 	}
-	candidate.flights = slices.Delete(candidate.flights, position, position+1)
+	candidate.activeRequests = slices.Delete(candidate.activeRequests, position, position+1)
 	return true
 }
 
-// notePeak tells the requests under way how many there are.
-func (candidate *candidate) notePeak(count int) {
-	for _, flight := range candidate.flights {
-		flight.peak = max(flight.peak, count)
+// updatePeak raises the peak number of requests in the records of all active requests.
+func (candidate *candidate) updatePeak(count int) {
+	for _, activeRequest := range candidate.activeRequests {
+		activeRequest.peakInFlight = max(activeRequest.peakInFlight, count)
 	}
 }
 
-// others estimates what others have in flight there: what the reading told, less what has ended since on average.
-func (candidate *candidate) others(now clock.Moment) int {
+// othersInFlight estimates the number of requests that other instances have in flight on the target: the number at the
+// reading, less those that have ended since on average.
+func (candidate *candidate) othersInFlight(now clock.Moment) int {
 	age := now.Since(candidate.reading.At)
-	if !candidate.read || age > othersFade {
+	if !candidate.hasReading || age > othersDecayTime {
 		return 0
 	}
-	return int(float64(candidate.othersTold())*float64(1-age/othersFade) + 0.5)
+	return int(float64(candidate.othersAtReading())*float64(1-age/othersDecayTime) + 0.5)
 }
 
-// othersTold is what others had in flight there when it told.
-func (candidate *candidate) othersTold() int {
+// othersAtReading is the number of requests that other instances had in flight on the target at the reading.
+func (candidate *candidate) othersAtReading() int {
 	return max(candidate.reading.Running+candidate.reading.Waiting-candidate.ownAtReading, 0)
 }
 
-// room is the number of requests that may be in flight there at once.
-func (candidate *candidate) room() int {
-	return candidate.slotClass.roomNow()
+// concurrencyLimit is the number of requests that may be in flight on the target at once.
+func (candidate *candidate) concurrencyLimit() int {
+	return candidate.slotClass.currentLimit()
 }
 
-// cold reports whether the target bears only its cold rate, or may.
+// cold reports whether the target is limited to its cold rate, or has to be treated so because its state is unknown.
 func (candidate *candidate) cold(now clock.Moment) bool {
-	return now < candidate.coldUntil || candidate.offer.Owned && candidate.stale(now)
+	return now < candidate.coldUntil || candidate.config.Owned && candidate.stale(now)
 }
 
-// stale reports whether so long nothing was heard of the target that it may have turned cold meanwhile.
+// stale reports whether there is no reading, or the last one is so old that the target may have become cold since.
 func (candidate *candidate) stale(now clock.Moment) bool {
-	return !candidate.read || now.Since(candidate.reading.At) > staleReading
+	return !candidate.hasReading || now.Since(candidate.reading.At) > maxReadingAge
 }
 
-// mayStart reports whether one more request may be sent to a cold target now.
-func (candidate *candidate) mayStart(now clock.Moment) bool {
-	if !candidate.offer.Owned || now < candidate.ownedFrom {
+// coldStartAllowed reports whether one more request may be sent to a cold target now.
+func (candidate *candidate) coldStartAllowed(now clock.Moment) bool {
+	if !candidate.config.Owned || now < candidate.ownedFrom {
 		return false
 	}
 	candidate.refill(now)
 	return candidate.tokens >= 1
 }
 
-// coldRate is the number of requests a second that this instance may send there while it is cold.
+// coldRate is the number of requests per second that this instance may send to the target while it is cold.
 func (candidate *candidate) coldRate() float64 {
-	return candidate.offer.ColdRate * coldMargin * *candidate.coldShare
+	return candidate.config.ColdRate * coldRateShare * *candidate.coldShare
 }
 
-// startsAt is when a cold target may get one more request, never if it may already.
-func (candidate *candidate) startsAt(now clock.Moment) clock.Moment {
+// nextColdStartAt is when a cold target may get one more request, or never if it may get one already.
+func (candidate *candidate) nextColdStartAt(now clock.Moment) clock.Moment {
 	candidate.refill(now)
 	if candidate.tokens >= 1 {
 		return never
@@ -224,56 +234,57 @@
 	candidate.tokensAt = now
 }
 
-// share is the part of the room that this instance may fill. What others have in flight on a target is known from what it tells; on one
-// that tells nothing each instance keeps to a part of its own, or together they would send it more than it can queue.
-func (candidate *candidate) share(room int) int {
+// limitShare is the part of the concurrency limit that this instance may use. The number of requests that other instances
+// have in flight is known from the reports of the target. On a non-reporting target every instance keeps to a share of its
+// own, since all instances together would otherwise send more requests than the target can queue.
+func (candidate *candidate) limitShare(limit int) int {
 	switch {
-	case !candidate.read || candidate.tells:
-		if !candidate.offer.Owned && room > sharedRoom {
-			return (room + 1) / 2
+	case !candidate.hasReading || candidate.reportsLoad:
+		if !candidate.config.Owned && limit > maxUnreservedLimit {
+			return (limit + 1) / 2
 		}
-		return room
-	case candidate.offer.Owned:
-		return max(room-silentShare, 1)
+		return limit
+	case candidate.config.Owned:
+		return max(limit-nonReportingReserve, 1)
 	default:
-		return min(room, silentShare)
+		return min(limit, nonReportingReserve)
 	}
 }
 
-// open reports whether a request may be sent there now.
-func (candidate *candidate) open(now clock.Moment, despiteFailures bool) bool {
-	return candidate.openWith(now, candidate.room(), despiteFailures)
+// available reports whether a request may be sent to the target now.
+func (candidate *candidate) available(now clock.Moment, despiteFailures bool) bool {
+	return candidate.availableWithLimit(now, candidate.concurrencyLimit(), despiteFailures)
 }
 
-// openWith reports whether a request may be sent there now if the given number may be in flight at once.
-func (candidate *candidate) openWith(now clock.Moment, room int, despiteFailures bool) bool {
-	if !candidate.offer.Usable || candidate.down {
+// availableWithLimit reports whether a request may be sent to the target now under the given concurrency limit.
+func (candidate *candidate) availableWithLimit(now clock.Moment, limit int, despiteFailures bool) bool {
+	if !candidate.config.Usable || candidate.down {
 		return false
 	}
-	if !despiteFailures && candidate.inARow >= failuresUntilTrickle || candidate.stale(now) {
-		// Nothing is known of it, or nothing good; one request at a time does no harm and tells more.
-		room = 1
+	if !despiteFailures && candidate.consecutiveFailures >= failuresUntilTrickle || candidate.stale(now) {
+		// The state of the target is unknown or bad. One request at a time does no harm and shows its state.
+		limit = 1
 	}
-	if candidate.own+candidate.others(now) >= candidate.share(room) {
+	if candidate.ownInFlight+candidate.othersInFlight(now) >= candidate.limitShare(limit) {
 		return false
 	}
-	if !despiteFailures && now < candidate.avoidUntil {
+	if !despiteFailures && now < candidate.backoffUntil {
 		return false
 	}
-	return !candidate.cold(now) || candidate.mayStart(now)
+	return !candidate.cold(now) || candidate.coldStartAllowed(now)
 }
 
-// fail counts a failed request.
-func (candidate *candidate) fail(now clock.Moment) {
-	candidate.failRate += failureWeight * (1 - candidate.failRate)
-	candidate.inARow++
-	doublings := min(candidate.inARow-1, mostDoublings)
-	candidate.avoidUntil = now.Add(firstAvoidance * clock.Milliseconds(int(1)<<doublings))
+// recordFailure counts a failed request.
+func (candidate *candidate) recordFailure(now clock.Moment) {
+	candidate.failureRate += failureWeight * (1 - candidate.failureRate)
+	candidate.consecutiveFailures++
+	doublings := min(candidate.consecutiveFailures-1, mostDoublings)
+	candidate.backoffUntil = now.Add(initialBackoff * clock.Milliseconds(int(1)<<doublings))
 }
 
-// succeed counts a request that went well.
-func (candidate *candidate) succeed() {
-	candidate.failRate -= failureWeight * candidate.failRate
-	candidate.inARow = 0
-	candidate.avoidUntil = 0
+// recordSuccess counts a successful request.
+func (candidate *candidate) recordSuccess() {
+	candidate.failureRate -= failureWeight * candidate.failureRate
+	candidate.consecutiveFailures = 0
+	candidate.backoffUntil = 0
 }
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -10,9 +10,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Short lookups and batches of 60 KB go to the same service, whose servers here are half taken while those in another data centre are
-// idle. A lookup goes where it is answered first. A batch would fill the link between the data centres, which all callers share.
-func TestLongBodiesStayAtHome(t *testing.T) {
+// Short lookups and batches of 60 KB go to the same service. Its local servers are half in use, while those in another data
+// centre are idle. A lookup goes where it is answered first; a batch stays local, since it would fill the link between the
+// data centres, which all callers share.
+func TestLongBodiesStayInLocalDataCentre(t *testing.T) {
 	cases := []struct {
 		name   string
 		size   int
@@ -29,22 +30,22 @@
 			demand := func() Demand {
 				return Demand{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
 			}
-			home := Offer{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
-			scheduler.SetOffers([]Offer{home})
+			home := TargetConfig{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
+			scheduler.SetTargets([]TargetConfig{home})
 			for range 200 {
-				scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-				place, _, err := scheduler.Enter(demand())
+				scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
+				permit, _, err := scheduler.Enter(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
-				place.Size = testCase.size
-				place.Release(Succeeded)
+				permit.Size = testCase.size
+				permit.Release(Succeeded)
 			}
-			scheduler.SetOffers([]Offer{home, {Name: "far", Slots: 8, Usable: true}})
-			scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
-			scheduler.Observe("far", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-			place, _, err := scheduler.Enter(demand())
+			scheduler.SetTargets([]TargetConfig{home, {Name: "far", Slots: 8, Usable: true}})
+			scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
+			scheduler.Observe("far", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
+			permit, _, err := scheduler.Enter(demand())
 			require.NoError(t, err)
-			require.Equal(t, testCase.expect, place.Target.Name)
+			require.Equal(t, testCase.expect, permit.Target.Name)
 		})
 	}
 }
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -7,144 +7,147 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// A choice compares all targets of a service with no more than compareAll of them. Of more targets it compares about compareMost in
-// the own data centre and as many elsewhere, so that it takes the same time however many there are. They are spread over all phases:
-// of equally slow targets those are best whose slowness changes last. After compareLeast those are left out that can't be
-// better by more than the chance in a choice.
+// Up to maxFullComparison targets of a service are all compared. Of more targets, about maxCompared are compared in the
+// local data centre and as many in the remote ones, so that a choice takes the same time for any number of targets. They are
+// spread over all phases: of equally slow targets, those whose slowdown changes last are best. After minCompared, targets
+// are left out that cannot be better by more than choiceJitter.
 const (
-	compareAll   = 16
-	compareMost  = 16
-	compareLeast = 4
+	maxFullComparison = 16
+	maxCompared       = 16
+	minCompared       = 4
 )
 
-// levelTimes is how many times longer than usual requests take at least on targets of each level.
-var levelTimes = func() [levels]clock.Milliseconds {
+// bucketTimes is the least expected time of the targets of each bucket, relative to the usual one.
+var bucketTimes = func() [levels]clock.Milliseconds {
 	var times [levels]clock.Milliseconds
-	for level := range times {
-		times[level] = clock.Milliseconds(math.Exp2(float64(level) / levelsPerDoubling))
+	for bucket := range times {
+		times[bucket] = clock.Milliseconds(math.Exp2(float64(bucket) / bucketsPerDoubling))
 	}
 	return times
 }()
 
-// comparison finds the target with the least cost for a request.
+// comparison finds the target with the lowest cost for a request.
 type comparison struct {
 	scheduler  *Scheduler
 	prediction prediction
-	// tried is passed over as long as there is another.
-	tried       *Target
-	triedBefore *candidate
-	triedFinish clock.Milliseconds
-	best        *candidate
-	bestFinish  clock.Milliseconds
-	leastCost   clock.Milliseconds
-	considered  int
+	// tried is the target of an earlier attempt, chosen only if there is no other.
+	tried          *Target
+	triedCandidate *candidate
+	triedFinish    clock.Milliseconds
+	best           *candidate
+	bestFinish     clock.Milliseconds
+	minCost        clock.Milliseconds
+	considered     int
 }
 
-// consider compares an open target with the best one so far, for which the given finishes of a usual and a long request are predicted.
+// consider compares an available target with the best one so far. finish and long are the predicted durations of a usual and
+// a long request on it.
 func (comparison *comparison) consider(candidate *candidate, finish, long clock.Milliseconds, local bool) {
 	if candidate.Target == comparison.tried {
-		comparison.triedBefore, comparison.triedFinish = candidate, finish
+		comparison.triedCandidate, comparison.triedFinish = candidate, finish
 		return
 	}
 	comparison.considered++
-	// A little chance keeps instances with the same view from all choosing the same target.
-	cost := (finish + long) * clock.Milliseconds(1+choiceSpread*comparison.scheduler.random.Float64())
+	// The jitter keeps instances with the same view from all choosing the same target.
+	cost := (finish + long) * clock.Milliseconds(1+choiceJitter*comparison.scheduler.random.Float64())
 	if !local {
-		cost += 2 * farCostOf(comparison.prediction.expected)
+		cost += 2 * remoteCostOf(comparison.prediction.classStats)
 	}
-	if comparison.best == nil || cost < comparison.leastCost {
-		comparison.best, comparison.bestFinish, comparison.leastCost = candidate, finish, cost
+	if comparison.best == nil || cost < comparison.minCost {
+		comparison.best, comparison.bestFinish, comparison.minCost = candidate, finish, cost
 	}
 }
 
-func (comparison *comparison) considerFiled(candidate *candidate, local bool) {
-	finish, long := comparison.prediction.finishAsFiled(candidate)
+func (comparison *comparison) considerIndexed(candidate *candidate, local bool) {
+	finish, long := comparison.prediction.finishAsIndexed(candidate)
 	comparison.consider(candidate, finish, long, local)
 }
 
-// result returns the best target, nil when there is none, and the time until a usual request is finished there.
+// result returns the best target, nil if there is none, and the predicted duration of a usual request on it.
 func (comparison *comparison) result() (*candidate, clock.Milliseconds) {
 	if comparison.best == nil {
-		return comparison.triedBefore, comparison.triedFinish
+		return comparison.triedCandidate, comparison.triedFinish
 	}
 	return comparison.best, comparison.bestFinish
 }
 
-// amongMany compares some of the targets that are filed as open.
-func (comparison *comparison) amongMany(despiteFailures bool) (*candidate, clock.Milliseconds) {
+// bestIndexed compares some of the targets that are indexed as available.
+func (comparison *comparison) bestIndexed(despiteFailures bool) (*candidate, clock.Milliseconds) {
 	scheduler, now := comparison.scheduler, comparison.prediction.now
-	scheduler.refresh(now)
-	openness := openToAll
+	scheduler.reindexDue(now)
+	availability := availableToAll
 	if despiteFailures {
-		openness = openDespiteFailures
+		availability = availableDespiteFailures
 	}
 	for {
-		comparison.amongOpen(openness)
+		comparison.compareAvailable(availability)
 		chosen, finish := comparison.result()
-		if chosen == nil || chosen.open(now, despiteFailures) {
+		if chosen == nil || chosen.available(now, despiteFailures) {
 			return chosen, finish
 		}
-		scheduler.file(now, chosen)
-		comparison.best, comparison.triedBefore, comparison.considered = nil, nil, 0
+		scheduler.reindex(now, chosen)
+		comparison.best, comparison.triedCandidate, comparison.considered = nil, nil, 0
 	}
 }
 
-func (comparison *comparison) amongOpen(openness openness) {
+func (comparison *comparison) compareAvailable(availability availability) {
 	scheduler := comparison.scheduler
-	comparison.among(&scheduler.open.near[openness], true)
-	for _, slotClass := range scheduler.concurrency.slotClasses {
-		if slotClass.trying() {
-			comparison.among(&slotClass.open.near[openness], true)
+	comparison.compareList(&scheduler.available.local[availability], true)
+	for _, slotClass := range scheduler.concurrencyModel.slotClasses {
+		if slotClass.exploring() {
+			comparison.compareList(&slotClass.availableBeyondLimit.local[availability], true)
 		}
 	}
-	comparison.among(&scheduler.open.far[openness], false)
-	for _, slotClass := range scheduler.concurrency.slotClasses {
-		if slotClass.trying() {
-			comparison.among(&slotClass.open.far[openness], false)
+	comparison.compareList(&scheduler.available.remote[availability], false)
+	for _, slotClass := range scheduler.concurrencyModel.slotClasses {
+		if slotClass.exploring() {
+			comparison.compareList(&slotClass.availableBeyondLimit.remote[availability], false)
 		}
 	}
 }
 
-// among compares some targets of each phase, beginning with the one whose slowness may just have changed.
-func (comparison *comparison) among(index *phasedIndex, local bool) {
-	further := clock.Milliseconds(0)
+// compareList compares some targets of each phase, starting with the phase in which the slowdown may just have changed.
+func (comparison *comparison) compareList(phaseIndex *phaseIndex, local bool) {
+	extraCost := clock.Milliseconds(0)
 	if !local {
-		further = 2 * farCostOf(comparison.prediction.expected)
+		extraCost = 2 * remoteCostOf(comparison.prediction.classStats)
 	}
-	if index.notEmpty == 0 || comparison.settled(further, 0) {
+	if phaseIndex.notEmpty == 0 || comparison.sufficient(extraCost, 0) {
 		return
 	}
 	scheduler := comparison.scheduler
-	most := (compareMost + bits.OnesCount32(index.notEmpty) - 1) / bits.OnesCount32(index.notEmpty)
-	// Those of the youngest phase and the older ones come first, then the others from the highest number on.
-	upTo := uint32(2)<<phaseOf(comparison.prediction.now, scheduler.period) - 1
-	for _, remaining := range [...]uint32{index.notEmpty & upTo, index.notEmpty &^ upTo} {
+	perPhase := (maxCompared + bits.OnesCount32(phaseIndex.notEmpty) - 1) / bits.OnesCount32(phaseIndex.notEmpty)
+	// The lists of the current phase and the earlier ones come first, the latest phase first, then the others from the
+	// highest number down.
+	upToCurrent := uint32(2)<<phaseOf(comparison.prediction.now, scheduler.slowdownPeriod) - 1
+	for _, remaining := range [...]uint32{phaseIndex.notEmpty & upToCurrent, phaseIndex.notEmpty &^ upToCurrent} {
 		for ; remaining != 0; remaining &^= 1 << (bits.Len32(remaining) - 1) {
-			listed := &index.lists[bits.Len32(remaining)-1]
-			if comparison.settled(further, listed.lowest()) {
+			bucketIndex := &phaseIndex.lists[bits.Len32(remaining)-1]
+			if comparison.sufficient(extraCost, bucketIndex.lowest()) {
 				continue
 			}
-			if most == 1 {
-				comparison.considerFiled(listed.any(scheduler.random), local)
+			if perPhase == 1 {
+				comparison.considerIndexed(bucketIndex.randomLowest(scheduler.random), local)
 				continue
 			}
-			scheduler.compared = listed.gather(scheduler.random, scheduler.compared[:0], most)
-			for _, candidate := range scheduler.compared {
-				comparison.considerFiled(candidate, local)
+			scheduler.compareBuffer = bucketIndex.collectLowest(scheduler.random, scheduler.compareBuffer[:0], perPhase)
+			for _, candidate := range scheduler.compareBuffer {
+				comparison.considerIndexed(candidate, local)
 			}
 		}
 	}
 }
 
-// settled reports whether enough were compared and targets of the level can't be better by more than the chance in a choice. What they cost
-// at least is as slow as they are for requests that keep that, and soon as slow as usual for others.
-func (comparison *comparison) settled(further clock.Milliseconds, level int) bool {
-	if comparison.considered < compareLeast {
+// sufficient reports whether enough targets were compared, and targets of the given bucket cannot be better by more than
+// choiceJitter. The lower bound of their cost assumes the slowdown of the bucket for requests with a fixed slowdown, and at
+// most the long-run slowdown for the others.
+func (comparison *comparison) sufficient(extraCost clock.Milliseconds, bucket int) bool {
+	if comparison.considered < minCompared {
 		return false
 	}
 	prediction := &comparison.prediction
-	kept := levelTimes[level]
-	followed := min(kept, clock.Milliseconds(prediction.overSpells))
-	least := (1 + longTimes) * prediction.expected.work * (followed + prediction.keeping*(kept-followed))
-	return further+(1+choiceSpread)*least >= comparison.leastCost
+	fixed := bucketTimes[bucket]
+	varying := min(fixed, clock.Milliseconds(prediction.longRunSlowdown))
+	lowerBound := (1 + longRequestFactor) * prediction.classStats.serviceTime * (varying + prediction.fixedWeight*(fixed-varying))
+	return extraCost+(1+choiceJitter)*lowerBound >= comparison.minCost
 }
--- a/internal/service/concurrency.go
+++ b/internal/service/concurrency.go
@@ -2,140 +2,145 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// concurrency learns how much longer requests take on targets that run many others. Some targets slow down before their last slots are
-// taken, so that a full one gets less done than one with a slot or two left; others don't, and what is left free there is lost.
-// Targets are told apart by their number of slots.
+// concurrencyModel learns how much longer requests take on targets that run many others. Some targets slow down before their
+// last slots are in use, so that a full target has less throughput than one with a slot or two free; on other targets, slots
+// left free are wasted. Targets are grouped by their number of slots.
 //
-// What is learnt is how many times longer a request takes that starts as the first, the second and so on of those that a target
-// runs. Up to half of the slots that is taken to be once. A request that sees more of them later tells nothing: whether what came later
-// held it up is not known.
-type concurrency struct {
+// The model holds a duration factor for a request that starts as the first, the second and so on of those on a target. Up to
+// half of the slots the factor is taken to be 1. A request during which others start is not used: whether these slowed it
+// down is not known.
+type concurrencyModel struct {
 	bySlots     map[int]*slotClass
 	slotClasses []*slotClass
-	// learns says that what requests take tells of how many others there were when they started.
-	learns bool
+	// learning is true while the durations of requests show the effect of the other requests in flight when they started.
+	learning bool
 }
 
-// slotClass is what is known of targets with one number of slots.
+// slotClass is the model for targets with one number of slots.
 type slotClass struct {
-	concurrency *concurrency
-	// longer holds, for each number of requests under way with the new one, how many times longer that one takes; told counts the
-	// requests that have told so.
-	longer []float64
-	told   []int
-	// room is the number of requests at once with which the most gets done.
-	room int
-	// trials is the number of requests under way beyond that room.
-	trials int
+	model *concurrencyModel
+	// durationFactors holds, by the number of requests in flight including the new one, the duration of the new request
+	// relative to the usual one; samples counts the requests that each factor was learned from.
+	durationFactors []float64
+	samples         []int
+	// concurrencyLimit is the number of requests in flight with the highest throughput.
+	concurrencyLimit int
+	// explorations is the number of requests in flight beyond that limit.
+	explorations int
 
-	// targets counts the targets in use by the number of requests there, the last count stands for more as well.
-	targets []int
-	// open lists those that are open only for one request beyond the room, filedRoom is the room by which targets are filed.
-	open      openTargets
-	filedRoom int
+	// targetCounts counts the targets in use by their number of requests in flight; the last element also counts those with
+	// more.
+	targetCounts []int
+	// availableBeyondLimit lists targets that are available only for one request beyond the limit; indexedLimit is the limit
+	// by which targets are indexed.
+	availableBeyondLimit availableTargets
+	indexedLimit         int
 }
 
-// flight is what a request under way sees of its target.
-type flight struct {
-	// first is the number of requests there when it started, itself included, peak the largest since.
-	first, peak int
+// activeRequest records the load of the target during a request in flight.
+type activeRequest struct {
+	// inFlightAtStart is the number of requests on the target when the request started, including itself; peakInFlight is
+	// the highest number since.
+	inFlightAtStart, peakInFlight int
 }
 
 const (
-	// nearlyFull is the share of the slots above which targets are taken to slow down until requests have told, and
-	// nearlyFullLonger by how much.
-	nearlyFull       = 0.8
-	nearlyFullLonger = 1.7
-	// leastSlowedSlots is the least number of slots with which a target is thought to slow down at all.
-	leastSlowedSlots = 3
-	// clearGain is how many times more must get done for the room to change.
-	clearGain = 1.1
-	// concurrencyWeight is the weight of one request.
-	concurrencyWeight = 0.1
-	// concurrencyKnown is the number of requests from which a figure counts as known. Until then concurrencyTrials at a time find out.
-	concurrencyKnown  = 12
-	concurrencyTrials = 2
+	// contentionShare is the share of the slots above which targets are assumed to slow down until it is measured, and
+	// contentionFactor the assumed duration factor.
+	contentionShare  = 0.8
+	contentionFactor = 1.7
+	// minContendedSlots is the least number of slots with which targets are assumed to slow down at all.
+	minContendedSlots = 3
+	// minThroughputGain is the factor by which throughput must increase for the limit to change.
+	minThroughputGain = 1.1
+	// factorWeight is the weight of one request in a duration factor.
+	factorWeight = 0.1
+	// minFactorSamples is the number of requests from which a duration factor counts as known. Until then, up to
+	// maxExplorations requests at a time explore it.
+	minFactorSamples = 12
+	maxExplorations  = 2
 )
 
-// of returns what is known of targets with the given number of slots.
-func (concurrency *concurrency) of(slots int) *slotClass {
+// classOf returns the model for targets with the given number of slots.
+func (concurrencyModel *concurrencyModel) classOf(slots int) *slotClass {
 	slots = max(slots, 1)
-	if known, found := concurrency.bySlots[slots]; found {
-		return known
+	if class, found := concurrencyModel.bySlots[slots]; found {
+		return class
 	}
-	fresh := &slotClass{concurrency: concurrency, longer: make([]float64, slots+1), told: make([]int, slots+1), targets: make([]int, slots+2)}
-	for count := range fresh.longer {
-		fresh.longer[count] = 1
-		if float64(count) > nearlyFull*float64(slots) && !fresh.unhindered(count) {
-			fresh.longer[count] = nearlyFullLonger
+	fresh := &slotClass{model: concurrencyModel, durationFactors: make([]float64, slots+1), samples: make([]int, slots+1), targetCounts: make([]int, slots+2)}
+	for count := range fresh.durationFactors {
+		fresh.durationFactors[count] = 1
+		if float64(count) > contentionShare*float64(slots) && !fresh.uncontended(count) {
+			fresh.durationFactors[count] = contentionFactor
 		}
 	}
-	fresh.setRoom()
-	fresh.filedRoom = fresh.room
-	concurrency.slotClasses = append(concurrency.slotClasses, fresh)
-	if concurrency.bySlots == nil {
-		concurrency.bySlots = map[int]*slotClass{}
+	fresh.updateLimit()
+	fresh.indexedLimit = fresh.concurrencyLimit
+	concurrencyModel.slotClasses = append(concurrencyModel.slotClasses, fresh)
+	if concurrencyModel.bySlots == nil {
+		concurrencyModel.bySlots = map[int]*slotClass{}
 	}
-	concurrency.bySlots[slots] = fresh
+	concurrencyModel.bySlots[slots] = fresh
 	return fresh
 }
 
-// unhindered reports whether so few requests are taken not to hold each other up.
-func (slotClass *slotClass) unhindered(count int) bool {
-	slots := len(slotClass.longer) - 1
-	return slots < leastSlowedSlots || count <= (slots+1)/2
+// uncontended reports whether the given number of requests is assumed not to slow each other down.
+func (slotClass *slotClass) uncontended(count int) bool {
+	slots := len(slotClass.durationFactors) - 1
+	return slots < minContendedSlots || count <= (slots+1)/2
 }
 
-// setRoom finds the number of requests at once with which the most gets done, by Little's law their number by the time of each. It
-// changes only for a clear gain.
-func (slotClass *slotClass) setRoom() {
-	best := slotClass.room
-	for count := 1; count < len(slotClass.longer); count++ {
-		if slotClass.done(count) > slotClass.done(best) {
+// updateLimit finds the number of requests in flight with the highest throughput, which is their number divided by their
+// duration by Little's law. It changes the limit only for a clear gain.
+func (slotClass *slotClass) updateLimit() {
+	best := slotClass.concurrencyLimit
+	for count := 1; count < len(slotClass.durationFactors); count++ {
+		if slotClass.throughput(count) > slotClass.throughput(best) {
 			best = count
 		}
 	}
-	if slotClass.room == 0 || slotClass.done(best) > clearGain*slotClass.done(slotClass.room) {
-		slotClass.room = best
+	if slotClass.concurrencyLimit == 0 || slotClass.throughput(best) > minThroughputGain*slotClass.throughput(slotClass.concurrencyLimit) {
+		slotClass.concurrencyLimit = best
 	}
 }
 
-// done is how much the target gets done with the given number of requests at once.
-func (slotClass *slotClass) done(count int) float64 {
-	return float64(count) / slotClass.longer[count]
+// throughput is the relative throughput of a target with the given number of requests in flight.
+func (slotClass *slotClass) throughput(count int) float64 {
+	return float64(count) / slotClass.durationFactors[count]
 }
 
-// roomNow is the number of requests that may be under way at once: one more than the best as long as it isn't known what that does.
-func (slotClass *slotClass) roomNow() int {
-	if slotClass.trying() {
-		return slotClass.next()
+// currentLimit is the number of requests that may be in flight at once: one beyond the best number while the effect of that
+// one is not known.
+func (slotClass *slotClass) currentLimit() int {
+	if slotClass.exploring() {
+		return slotClass.nextLimit()
 	}
-	return slotClass.room
+	return slotClass.concurrencyLimit
 }
 
-// trying reports whether one request more than the best number may be under way to find out.
-func (slotClass *slotClass) trying() bool {
-	next := slotClass.next()
-	return slotClass.concurrency.learns && next > slotClass.room && slotClass.told[next] < concurrencyKnown && slotClass.trials < concurrencyTrials
+// exploring reports whether one request beyond the limit may be in flight to learn its effect.
+func (slotClass *slotClass) exploring() bool {
+	nextLimit := slotClass.nextLimit()
+	return slotClass.model.learning && nextLimit > slotClass.concurrencyLimit && slotClass.samples[nextLimit] < minFactorSamples && slotClass.explorations < maxExplorations
 }
 
-// next is one request more than the best number, as far as there are slots.
-func (slotClass *slotClass) next() int {
-	return min(slotClass.room+1, len(slotClass.longer)-1)
+// nextLimit is the limit plus one, at most the number of slots.
+func (slotClass *slotClass) nextLimit() int {
+	return min(slotClass.concurrencyLimit+1, len(slotClass.durationFactors)-1)
 }
 
-// times is how many times longer a request takes that starts as the given one.
-func (slotClass *slotClass) times(count int) clock.Milliseconds {
-	return clock.Milliseconds(slotClass.longer[min(max(count, 0), len(slotClass.longer)-1)])
+// durationFactor returns the duration, relative to the usual one, of a request that starts as the given one on a target.
+func (slotClass *slotClass) durationFactor(count int) clock.Milliseconds {
+	return clock.Milliseconds(slotClass.durationFactors[min(max(count, 0), len(slotClass.durationFactors)-1)])
 }
 
-// learn takes the time of a request that started on a fast target.
-func (slotClass *slotClass) learn(flight *flight, work, held clock.Milliseconds) {
-	count := min(flight.first, len(slotClass.longer)-1)
-	if !slotClass.concurrency.learns || slotClass.unhindered(count) || flight.peak > flight.first {
+// learn adds the duration of a request that started on a fast target.
+func (slotClass *slotClass) learn(activeRequest *activeRequest, serviceTime, held clock.Milliseconds) {
+	count := min(activeRequest.inFlightAtStart, len(slotClass.durationFactors)-1)
+	if !slotClass.model.learning || slotClass.uncontended(count) || activeRequest.peakInFlight > activeRequest.inFlightAtStart {
 		return
 	}
-	slotClass.told[count]++
-	slotClass.longer[count] += concurrencyWeight * (min(float64(held/work), mostOutlying) - slotClass.longer[count])
-	slotClass.setRoom()
+	slotClass.samples[count]++
+	slotClass.durationFactors[count] += factorWeight * (min(float64(held/serviceTime), maxOutlierFactor) - slotClass.durationFactors[count])
+	slotClass.updateLimit()
 }
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -10,42 +10,42 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// benchFleet is a scheduler with targets of which a quarter is slow at any moment. A third of them is its own, and half of them lies in
-// its data centre.
+// benchFleet is a scheduler with targets of which a quarter is slow at any moment. It owns a third of them, and half of them
+// are in its data centre.
 type benchFleet struct {
-	scheduler *Scheduler
-	random    *rand.Rand
-	now       atomic.Int64
-	names     []settings.TargetName
-	nextTold  int
-	held      []Place
-	waiting   []*Ticket
+	scheduler      *Scheduler
+	random         *rand.Rand
+	now            atomic.Int64
+	names          []settings.TargetName
+	nextReporting  int
+	permits        []Place
+	pendingPermits []*Ticket
 }
 
 const (
 	benchPeriod = 150 * clock.Millisecond
 	benchSlots  = 4
-	// benchHeld is how long a request seems to have been under way when it ends.
-	benchHeld = 100 * clock.Millisecond
+	// benchRequestDuration is the apparent duration of a request when it ends.
+	benchRequestDuration = 100 * clock.Millisecond
 	// benchStep is the time between two requests, in nanoseconds.
 	benchStep = 20_000
-	// benchTell is the number of requests after which those targets tell whose slowness may have changed meanwhile.
-	benchTell = 200
+	// benchReportEvery is the number of requests after which the targets report whose slowdown may have changed meanwhile.
+	benchReportEvery = 200
 )
 
 func newBenchFleet(targets int) *benchFleet {
 	fleet := &benchFleet{random: rand.New(rand.NewPCG(3, 3))}
 	fleet.now.Store(60_000_000_000)
 	fleet.scheduler = NewScheduler(SchedulerOptions{Clock: &clock.Clock{Now: fleet.moment}, Rand: rand.New(rand.NewPCG(1, 1))})
-	offers := make([]Offer, 0, targets)
+	configs := make([]TargetConfig, 0, targets)
 	for number := range targets {
 		name := settings.TargetName(fmt.Sprintf("target-%d", number))
 		fleet.names = append(fleet.names, name)
-		offers = append(offers, Offer{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
+		configs = append(configs, TargetConfig{Name: name, Slots: benchSlots, Local: number%2 == 0, Owned: number%3 == 0, Usable: true, ColdRate: 19})
 	}
-	fleet.scheduler.SetOffers(offers)
+	fleet.scheduler.SetTargets(configs)
 	for range fleet.names {
-		fleet.tell()
+		fleet.report()
 	}
 	return fleet
 }
@@ -54,85 +54,86 @@
 	return clock.Moment(float64(fleet.now.Load()) / 1e6)
 }
 
-// tell has the next target tell how it is until its next change.
-func (fleet *benchFleet) tell() {
+// report adds a reading of the next target that is valid until its next change.
+func (fleet *benchFleet) report() {
 	slowdown := 1.0
 	if fleet.random.IntN(4) == 0 {
 		slowdown = 5
 	}
-	name := fleet.names[fleet.nextTold]
-	running := fleet.scheduler.candidates[name].own
-	fleet.scheduler.Observe(name, Reading{
+	name := fleet.names[fleet.nextReporting]
+	running := fleet.scheduler.candidates[name].ownInFlight
+	fleet.scheduler.Observe(name, LoadReading{
 		At: fleet.moment(), Running: running, Slots: benchSlots, Slowdown: slowdown, SteadyFor: benchPeriod - 10, Period: benchPeriod, ColdKnown: true,
 	})
-	fleet.nextTold = (fleet.nextTold + 1) % len(fleet.names)
+	fleet.nextReporting = (fleet.nextReporting + 1) % len(fleet.names)
 }
 
-// tellDue has those targets tell that do so within the time of benchTell requests.
-func (fleet *benchFleet) tellDue() {
-	passed := clock.Milliseconds(benchTell) * benchStep / 1e6
+// reportDue adds the readings that are due within the time of benchReportEvery requests.
+func (fleet *benchFleet) reportDue() {
+	passed := clock.Milliseconds(benchReportEvery) * benchStep / 1e6
 	for range int(float64(len(fleet.names))*float64(passed/benchPeriod) + 1) {
-		fleet.tell()
+		fleet.report()
 	}
 }
 
-func (fleet *benchFleet) demand() Demand {
+func (fleet *benchFleet) permitRequest() Demand {
 	now := fleet.moment()
 	return Demand{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
 
-// fill takes the given part of what fits.
+// fill acquires the given part of all permits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-		if ticket != nil || err != nil {
-			b.Fatal("no place")
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+		if pendingPermit != nil || err != nil {
+			b.Fatal("no permit")
 		}
-		fleet.held = append(fleet.held, place)
+		fleet.permits = append(fleet.permits, permit)
 	}
 }
 
-// overfill takes all places, and has 500 requests wait.
+// overfill acquires all permits and queues 500 more requests.
 func (fleet *benchFleet) overfill(b *testing.B) {
-	for len(fleet.waiting) < 500 {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+	for len(fleet.pendingPermits) < 500 {
+		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 		switch {
 		case err != nil:
 			b.Fatal(err)
-		case ticket != nil:
-			fleet.waiting = append(fleet.waiting, ticket)
+		case pendingPermit != nil:
+			fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
 		default:
-			fleet.held = append(fleet.held, place)
+			fleet.permits = append(fleet.permits, permit)
 		}
 	}
 }
 
-// collect takes over the places of requests that waited for them.
+// collect takes over the permits granted to waiting requests.
 func (fleet *benchFleet) collect() {
-	for len(fleet.waiting) > 0 {
-		place, found, err := fleet.waiting[0].Poll()
+	for len(fleet.pendingPermits) > 0 {
+		permit, found, err := fleet.pendingPermits[0].Poll()
 		if !found {
 			return
 		}
 		if err == nil {
-			fleet.held = append(fleet.held, place)
+			fleet.permits = append(fleet.permits, permit)
 		}
-		fleet.waiting = fleet.waiting[1:]
+		fleet.pendingPermits = fleet.pendingPermits[1:]
 	}
 }
 
-// release gives any place back.
+// release releases a random permit.
 func (fleet *benchFleet) release() {
-	position := fleet.random.IntN(len(fleet.held))
-	last := len(fleet.held) - 1
-	fleet.held[position], fleet.held[last] = fleet.held[last], fleet.held[position]
-	fleet.held[last].Release(Cancelled)
-	fleet.held = fleet.held[:last]
+	position := fleet.random.IntN(len(fleet.permits))
+	last := len(fleet.permits) - 1
+	fleet.permits[position], fleet.permits[last] = fleet.permits[last], fleet.permits[position]
+	fleet.permits[last].Release(Cancelled)
+	fleet.permits = fleet.permits[:last]
 }
 
-// BenchmarkSchedulerChoice measures a request's entry and its release. Calm: 0.4 of what fits is in flight, and no request waits.
-// Overloaded: 1.6 times what fits comes, all places are taken and 500 requests wait; five of eight that come get a place later, the
-// others give up. What targets tell meanwhile isn't counted.
+// BenchmarkSchedulerChoice measures the admission of a request and the release of its permit. Calm: 0.4 of all permits are
+// in use, and no request waits. Overloaded: requests arrive at 1.6 times the capacity, all permits are in use and 500
+// requests wait; five of eight new requests get a permit later, the others give up. The readings of targets are not
+// measured.
 func BenchmarkSchedulerChoice(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("calm/targets=%d", targets), func(b *testing.B) {
@@ -140,12 +141,12 @@
 			fleet.fill(b, 0.4)
 			b.ReportAllocs()
 			for count := 1; b.Loop(); count++ {
-				place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-				if ticket != nil || err != nil {
-					b.Fatal("no place")
+				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+				if pendingPermit != nil || err != nil {
+					b.Fatal("no permit")
 				}
-				place.since = place.since.Add(-benchHeld)
-				place.Release(Succeeded)
+				permit.since = permit.since.Add(-benchRequestDuration)
+				permit.Release(Succeeded)
 				fleet.pause(b, count)
 			}
 		})
@@ -158,14 +159,14 @@
 					fleet.release()
 					fleet.collect()
 				}
-				_, ticket, err := fleet.scheduler.Enter(fleet.demand())
+				_, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
 				if err != nil {
 					b.Fatal(err)
 				}
 				if count%8 < 5 {
-					fleet.waiting = append(fleet.waiting, ticket)
-				} else if _, err = ticket.GiveUp(); err == nil {
-					b.Fatal("a place for one that gave up")
+					fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
+				} else if _, err = pendingPermit.GiveUp(); err == nil {
+					b.Fatal("a permit for a request that gave up")
 				}
 				fleet.pause(b, count)
 			}
@@ -173,20 +174,20 @@
 	}
 }
 
-// pause lets time pass, and now and then targets tell how they are, which isn't measured.
+// pause advances the clock. Every benchReportEvery requests, targets report their load, which is not measured.
 func (fleet *benchFleet) pause(b *testing.B, count int) {
 	fleet.now.Add(benchStep)
-	if count%benchTell != 0 {
+	if count%benchReportEvery != 0 {
 		return
 	}
 	b.StopTimer()
-	fleet.tellDue()
+	fleet.reportDue()
 	fleet.collect()
 	b.StartTimer()
 }
 
-// BenchmarkSchedulerChoiceParallel measures the same from all processors at once, which share one mutex. With 0.2 of what fits in flight each
-// of them finds a fast target also among 20.
+// BenchmarkSchedulerChoiceParallel measures the same from all CPUs at once, which share one mutex. With 0.2 of all permits
+// in use, each of them finds a fast target even among 20.
 func BenchmarkSchedulerChoiceParallel(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -196,20 +197,20 @@
 			b.ResetTimer()
 			b.RunParallel(func(loop *testing.PB) {
 				for loop.Next() {
-					place, ticket, err := fleet.scheduler.Enter(fleet.demand())
-					if ticket != nil || err != nil {
-						b.Error("no place")
+					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+					if pendingPermit != nil || err != nil {
+						b.Error("no permit")
 						return
 					}
-					place.since = place.since.Add(-benchHeld)
-					place.Release(Succeeded)
+					permit.since = permit.since.Add(-benchRequestDuration)
+					permit.Release(Succeeded)
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkSchedulerObserve measures what a target's word costs.
+// BenchmarkSchedulerObserve measures the cost of a reading.
 func BenchmarkSchedulerObserve(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -219,7 +220,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				fleet.now.Add(step)
-				fleet.tell()
+				fleet.report()
 			}
 		})
 	}
