--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -13,7 +13,7 @@
 
 // attempt is what came of sending the request to one backend server.
 type attempt struct {
-	place    service.Place
+	place    service.Permit
 	exchange *backendserver.Exchange
 	// buffered is the answer's body, as far as it was read ahead.
 	buffered []byte
@@ -47,7 +47,7 @@
 
 // send sends the request to the backend server of a place, once, and judges what comes back. It leaves the call as it
 // is, so that two may run at once. The place is given back unless there is an answer to pass on.
-func (call *call) send(ctx context.Context, place service.Place, request *http.Request) attempt {
+func (call *call) send(ctx context.Context, place service.Permit, request *http.Request) attempt {
 	target := place.Target
 	freshOnly := !call.route.Class.Settings.Idempotent
 	before := call.now()
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -37,7 +37,7 @@
 	queued   clock.Milliseconds
 	sending  clock.Milliseconds
 	// place is the one held now; Target is nil when there is none.
-	place service.Place
+	place service.Permit
 	// mustClose says that the caller's connection ends with this request.
 	mustClose bool
 }
@@ -84,7 +84,7 @@
 		return
 	}
 	place := call.place
-	call.place = service.Place{}
+	call.place = service.Permit{}
 	place.Release(result)
 }
 
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -74,7 +74,7 @@
 // takePlace waits for a place on a backend server.
 func (call *call) takePlace(ctx context.Context) *ending {
 	before := call.now()
-	place, err := call.route.Service.Take(ctx, call.demand())
+	place, err := call.route.Service.Acquire(ctx, call.demand())
 	if err == nil {
 		call.queued += place.Waited
 		call.place = place
@@ -113,8 +113,8 @@
 	return problem
 }
 
-func (call *call) demand() service.Demand {
-	return service.Demand{
+func (call *call) demand() service.PermitRequest {
+	return service.PermitRequest{
 		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, Tried: call.tried,
 		Class: call.route.Class.Name, Aim: call.aim,
 	}
@@ -146,7 +146,7 @@
 	call.note(&attempt)
 	call.place = attempt.place
 	if !attempt.answered() {
-		call.place = service.Place{}
+		call.place = service.Permit{}
 	}
 	return attempt
 }
@@ -202,7 +202,7 @@
 	case attempt.exchange != nil:
 		failure.status = http.StatusServiceUnavailable
 		failure.reason = outcome.ReasonServerRefused
-		failure.retryAfter = call.route.Service.ComeBack()
+		failure.retryAfter = call.route.Service.RetryAfter()
 	default:
 		failure.status = http.StatusServiceUnavailable
 		failure.reason = outcome.ReasonConnect
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -32,7 +32,7 @@
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
 	first := call.place
-	call.place = service.Place{}
+	call.place = service.Permit{}
 	cancelFirst := call.sendCopy(ctx, first, results)
 	second, winner := call.awaitFirst(ctx, first, results)
 	if winner != nil {
@@ -77,7 +77,7 @@
 }
 
 // sendCopy sends the request under a context of its own, which lasts until what comes of it has been discarded or passed on.
-func (call *call) sendCopy(ctx context.Context, place service.Place, results chan<- attempt) context.CancelFunc {
+func (call *call) sendCopy(ctx context.Context, place service.Permit, results chan<- attempt) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	request := call.outgoing(place.Target)
 	go func() {
@@ -103,7 +103,7 @@
 
 // awaitFirst waits for the first copy. It returns a place for the second one when the first is slow, or else what came of
 // the first.
-func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
+func (call *call) awaitFirst(ctx context.Context, first service.Permit, results <-chan attempt) (service.Permit, *attempt) {
 	work := call.route.Service.Scheduler.Expected(call.route.Class.Name)
 	last := call.aim.Add(-service.CallerDistance - hedgeMargin*work)
 	overdue := call.now().Add(hedgeOverdue * work)
@@ -112,7 +112,7 @@
 	for {
 		select {
 		case result := <-results:
-			return service.Place{}, &result
+			return service.Permit{}, &result
 		case <-timer.C:
 		}
 		now := call.now()
@@ -127,14 +127,14 @@
 	}
 }
 
-func (call *call) takeSecond(demand service.Demand) (service.Place, bool) {
+func (call *call) takeSecond(demand service.PermitRequest) (service.Permit, bool) {
 	second, taken := call.route.Service.Scheduler.TryTake(demand)
 	if !taken {
-		return service.Place{}, false
+		return service.Permit{}, false
 	}
 	if !call.route.Service.Budget.Spend() {
 		second.Release(service.Cancelled)
-		return service.Place{}, false
+		return service.Permit{}, false
 	}
 	return second, true
 }
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -56,9 +56,9 @@
 
 // ticket is a waiting request.
 type ticket struct {
-	*service.Ticket
+	*service.PendingPermit
 
-	decided func(service.Place, error)
+	decided func(service.Permit, error)
 	over    bool
 }
 
@@ -197,20 +197,20 @@
 }
 
 // take asks for a place; decided is called once, now or later.
-func (instance *instance) take(demand service.Demand, decided func(service.Place, error)) {
-	place, waiting, err := instance.scheduler.Enter(demand)
+func (instance *instance) take(demand service.PermitRequest, decided func(service.Permit, error)) {
+	place, waiting, err := instance.scheduler.AcquireOrEnqueue(demand)
 	if waiting == nil {
 		decided(place, err)
 		return
 	}
-	ticket := &ticket{Ticket: waiting, decided: decided}
+	ticket := &ticket{PendingPermit: waiting, decided: decided}
 	instance.tickets = append(instance.tickets, ticket)
-	instance.world.engine.at(waiting.Until(), func() {
+	instance.world.engine.at(waiting.WaitDeadline(), func() {
 		if ticket.over {
 			return
 		}
 		ticket.over = true
-		decided(waiting.GiveUp())
+		decided(waiting.Cancel())
 	})
 }
 
@@ -268,11 +268,11 @@
 		visit.end(endedExpired)
 		return
 	}
-	demand := service.Demand{
+	demand := service.PermitRequest{
 		Priority: visit.class.Priority, Class: visit.class.Name, Deadline: visit.until,
 		Aim: instance.scheduler.Aim(visit.class.Name, now, visit.class.Aim, left),
 	}
-	instance.take(demand, func(place service.Place, err error) {
+	instance.take(demand, func(place service.Permit, err error) {
 		if err != nil {
 			world.tally.held(world.engine.now().Since(now))
 			visit.refused(err)
@@ -295,7 +295,7 @@
 }
 
 // serve sends the request to its target, and learns from the answer.
-func (visit *visit) serve(instance *instance, place service.Place) {
+func (visit *visit) serve(instance *instance, place service.Permit) {
 	world := visit.world
 	target := world.byName[place.Target.Name]
 	world.engine.after(hop, func() {
--- a/internal/fleet/consumer_test.go
+++ b/internal/fleet/consumer_test.go
@@ -19,7 +19,7 @@
 }
 
 type heldPlace struct {
-	place service.Place
+	place service.Permit
 	until clock.Moment
 }
 
@@ -60,11 +60,11 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(consumer.controller.services)) {
 		for range 4 {
-			place, ticket, err := consumer.controller.services[name].scheduler.Enter(service.Demand{
+			place, ticket, err := consumer.controller.services[name].scheduler.AcquireOrEnqueue(service.PermitRequest{
 				Class: "class-0", Aim: now.Add(clock.Second), Deadline: now.Add(clock.Second),
 			})
 			if ticket != nil {
-				place, err = ticket.GiveUp()
+				place, err = ticket.Cancel()
 			}
 			if err != nil {
 				break
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -47,18 +47,18 @@
 	rules []rule
 }
 
-// Take waits for a place on one of the service's targets.
-func (entry *Service) Take(ctx context.Context, demand service.Demand) (service.Place, error) {
+// Acquire waits for a place on one of the service's targets.
+func (entry *Service) Acquire(ctx context.Context, demand service.PermitRequest) (service.Permit, error) {
 	if entry.Scheduler != nil {
 		return entry.Scheduler.Take(ctx, demand)
 	}
-	return entry.Dispatcher.Take(ctx, demand)
+	return entry.Dispatcher.Acquire(ctx, demand)
 }
 
-// ComeBack is when a caller may return whose request was refused by backend servers.
-func (entry *Service) ComeBack() clock.Milliseconds {
+// RetryAfter is when a caller may return whose request was refused by backend servers.
+func (entry *Service) RetryAfter() clock.Milliseconds {
 	if entry.Scheduler != nil {
-		return entry.Scheduler.ComeBack()
+		return entry.Scheduler.RetryAfter()
 	}
 	return entry.Settings.Queue.RetryAfter
 }
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -43,7 +43,7 @@
 }
 
 // newWaiter ranks a request.
-func (scheduler *Scheduler) newWaiter(now clock.Moment, demand Demand) rankedWaiter {
+func (scheduler *Scheduler) newWaiter(now clock.Moment, demand PermitRequest) rankedWaiter {
 	expected := scheduler.expect(demand.Class)
 	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerDistance - expected.work)}
 	waiter.until = now.Add(lateWaitMost * demand.Deadline.Since(now))
@@ -116,8 +116,8 @@
 	return scheduler.comeBackAfter(now, leastComeBack)
 }
 
-// ComeBack is when a caller may return whose request was refused by backend servers and not here.
-func (scheduler *Scheduler) ComeBack() clock.Milliseconds {
+// RetryAfter is when a caller may return whose request was refused by backend servers and not here.
+func (scheduler *Scheduler) RetryAfter() clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.comeBackAfter(scheduler.clock.Now(), leastComeBackRefused)
--- a/internal/service/baseline.go
+++ b/internal/service/baseline.go
@@ -40,7 +40,7 @@
 }
 
 // choose picks a target by the policy in force, or returns nil when none takes a request.
-func (dispatcher *Dispatcher) choose(demand Demand) *Target {
+func (dispatcher *Dispatcher) choose(demand PermitRequest) *Target {
 	if dispatcher.policy == PolicyLeastTaken || dispatcher.policy == PolicyDoubleShare {
 		if demand.Tried == nil {
 			return dispatcher.index.least(dispatcher.random, nil)
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -26,14 +26,14 @@
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			demand := func() Demand {
-				return Demand{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
+			demand := func() PermitRequest {
+				return PermitRequest{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
 			}
 			home := Offer{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
 			scheduler.SetOffers([]Offer{home})
 			for range 200 {
 				scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-				place, _, err := scheduler.Enter(demand())
+				place, _, err := scheduler.AcquireOrEnqueue(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
 				place.Size = testCase.size
@@ -42,7 +42,7 @@
 			scheduler.SetOffers([]Offer{home, {Name: "far", Slots: 8, Usable: true}})
 			scheduler.Observe("home", Reading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
 			scheduler.Observe("far", Reading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-			place, _, err := scheduler.Enter(demand())
+			place, _, err := scheduler.AcquireOrEnqueue(demand())
 			require.NoError(t, err)
 			require.Equal(t, testCase.expect, place.Target.Name)
 		})
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -60,8 +60,8 @@
 	Policy Policy
 }
 
-// Demand is what a request asks of a Dispatcher.
-type Demand struct {
+// PermitRequest is what a request asks of a Dispatcher.
+type PermitRequest struct {
 	Priority settings.Priority
 	// TeamPriority goes before Priority. Only a Scheduler looks at it.
 	TeamPriority settings.Priority
@@ -75,8 +75,8 @@
 	Aim   clock.Moment
 }
 
-// Place is the right to have one request in flight on a target. Release gives it back.
-type Place struct {
+// Permit is the right to have one request in flight on a target. Release gives it back.
+type Permit struct {
 	Target     *Target
 	dispatcher *Dispatcher
 	// Waited is how long the request waited for it.
@@ -248,13 +248,13 @@
 	return target.failures >= failuresUntilTrickle && 2*dispatcher.failing <= dispatcher.live
 }
 
-// Take waits for a place. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
-func (dispatcher *Dispatcher) Take(ctx context.Context, demand Demand) (Place, error) {
+// Acquire waits for a place. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
+func (dispatcher *Dispatcher) Acquire(ctx context.Context, demand PermitRequest) (Permit, error) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	if dispatcher.live == 0 {
 		dispatcher.mutex.Unlock()
-		return Place{}, ErrNoTarget
+		return Permit{}, ErrNoTarget
 	}
 	if dispatcher.waiting.length == 0 || demand.Priority < dispatcher.waiting.next().demand.Priority {
 		if place, found := dispatcher.takeNow(now, demand); found {
@@ -265,28 +265,28 @@
 	waiter, err := dispatcher.enqueue(now, demand)
 	dispatcher.mutex.Unlock()
 	if err != nil {
-		return Place{}, err
+		return Permit{}, err
 	}
 	return dispatcher.wait(ctx, waiter)
 }
 
 // takeNow takes a place if one is free.
-func (dispatcher *Dispatcher) takeNow(now clock.Moment, demand Demand) (Place, bool) {
+func (dispatcher *Dispatcher) takeNow(now clock.Moment, demand PermitRequest) (Permit, bool) {
 	listed := dispatcher.listed
 	target := dispatcher.choose(demand)
 	if target == nil {
-		return Place{}, false
+		return Permit{}, false
 	}
 	target.own++
 	dispatcher.own++
 	dispatcher.countShare(demand.Priority)
 	dispatcher.relist(target)
-	return Place{Target: target, dispatcher: dispatcher, Taken: target.taken(), Listed: listed, since: now}, true
+	return Permit{Target: target, dispatcher: dispatcher, Taken: target.taken(), Listed: listed, since: now}, true
 }
 
 // enqueue makes a request wait. One whose turn would not come in time is refused at once: it would wait for nothing, and
 // its caller could have gone elsewhere. When the queue is full, a less urgent request is refused in its favour.
-func (dispatcher *Dispatcher) enqueue(now clock.Moment, demand Demand) (*waiter, error) {
+func (dispatcher *Dispatcher) enqueue(now clock.Moment, demand PermitRequest) (*waiter, error) {
 	if dispatcher.expectedWait(demand.Priority) > admittedShare*min(dispatcher.limits.QueueWait, demand.Deadline.Since(now)) {
 		return nil, ErrQueueFull
 	}
@@ -342,7 +342,7 @@
 }
 
 // wait blocks until waiter has a place or is refused.
-func (dispatcher *Dispatcher) wait(ctx context.Context, waiter *waiter) (Place, error) {
+func (dispatcher *Dispatcher) wait(ctx context.Context, waiter *waiter) (Permit, error) {
 	longest := waiter.longest
 	reason := ErrQueueWait
 	if left := waiter.demand.Deadline.Since(waiter.since); left < longest {
@@ -362,18 +362,18 @@
 	stillWaiting := dispatcher.waiting.remove(waiter)
 	dispatcher.mutex.Unlock()
 	if stillWaiting {
-		return Place{}, reason
+		return Permit{}, reason
 	}
 	// A place arrived at the same instant; it is used, or else it would stay taken for ever.
 	return dispatcher.placeOf(waiter, <-waiter.done)
 }
 
-func (dispatcher *Dispatcher) placeOf(waiter *waiter, granted grant) (Place, error) {
+func (dispatcher *Dispatcher) placeOf(waiter *waiter, granted grant) (Permit, error) {
 	if granted.err != nil {
-		return Place{}, granted.err
+		return Permit{}, granted.err
 	}
 	waited := dispatcher.clock.Now().Since(waiter.since)
-	return Place{Target: granted.target, dispatcher: dispatcher, Waited: waited, Taken: granted.taken, since: granted.since}, nil
+	return Permit{Target: granted.target, dispatcher: dispatcher, Waited: waited, Taken: granted.taken, since: granted.since}, nil
 }
 
 // serveWaiting gives free places to waiting requests.
@@ -399,7 +399,7 @@
 }
 
 // Release gives the place back and learns from how the request ended.
-func (place Place) Release(result Result) {
+func (place Permit) Release(result Result) {
 	if place.scheduler != nil {
 		place.scheduler.release(place, result)
 		return
@@ -407,7 +407,7 @@
 	place.dispatcher.release(place, result)
 }
 
-func (dispatcher *Dispatcher) release(place Place, result Result) {
+func (dispatcher *Dispatcher) release(place Permit, result Result) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
--- a/internal/service/dispatcher_bench_test.go
+++ b/internal/service/dispatcher_bench_test.go
@@ -29,15 +29,15 @@
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			dispatcher := newWarmDispatcher(targets, 6)
-			demand := Demand{Deadline: clock.Moment(clock.Minute)}
+			demand := PermitRequest{Deadline: clock.Moment(clock.Minute)}
 			for range targets * 2 {
-				if _, err := dispatcher.Take(context.Background(), demand); err != nil {
+				if _, err := dispatcher.Acquire(context.Background(), demand); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				place, err := dispatcher.Take(context.Background(), demand)
+				place, err := dispatcher.Acquire(context.Background(), demand)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
 		for loop.Next() {
-			place, err := dispatcher.Take(context.Background(), Demand{Deadline: clock.Moment(clock.Minute)})
+			place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: clock.Moment(clock.Minute)})
 			if err != nil {
 				b.Error(err)
 				return
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -80,7 +80,7 @@
 			Limits: Limits{QueueLength: 4, QueueWait: clock.Second, FailurePenalty: 100},
 		})
 		model := &naive{targets: map[settings.TargetName]*naiveTarget{}}
-		var places []Place
+		var places []Permit
 		names := rapid.SampledFrom([]settings.TargetName{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
@@ -112,7 +112,7 @@
 				gone, cancel := context.WithCancel(context.Background())
 				cancel()
 				least, free := model.free()
-				place, err := dispatcher.Take(gone, Demand{Deadline: manual.Now().Add(clock.Second)})
+				place, err := dispatcher.Acquire(gone, PermitRequest{Deadline: manual.Now().Add(clock.Second)})
 				require.Equal(t, free, err == nil, "%v", err)
 				if err != nil {
 					return
@@ -187,7 +187,7 @@
 	for range requests {
 		manual.Advance(1)
 		dispatcher.Sweep()
-		place, err := dispatcher.Take(context.Background(), Demand{Deadline: manual.Now().Add(clock.Second)})
+		place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: manual.Now().Add(clock.Second)})
 		require.NoError(t, err)
 		var number int
 		_, err = fmt.Sscan(string(place.Target.Name), &number)
@@ -240,7 +240,7 @@
 	cancel()
 	taken := 0
 	for {
-		if _, err := dispatcher.Take(gone, Demand{Deadline: manual.Now().Add(clock.Second)}); err != nil {
+		if _, err := dispatcher.Acquire(gone, PermitRequest{Deadline: manual.Now().Add(clock.Second)}); err != nil {
 			break
 		}
 		taken++
@@ -259,13 +259,13 @@
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 		dispatcher.SetLimit("a", TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}, 0)
 		now := dispatcher.clock.Now
-		held, err := dispatcher.Take(context.Background(), Demand{Deadline: now().Add(clock.Minute)})
+		held, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
 		require.NoError(t, err)
 
 		ended := make(chan string, 8)
 		begin := func(name string, priority settings.Priority, deadline clock.Milliseconds, ctx context.Context) {
 			go func() {
-				place, err := dispatcher.Take(ctx, Demand{Priority: priority, Deadline: now().Add(deadline)})
+				place, err := dispatcher.Acquire(ctx, PermitRequest{Priority: priority, Deadline: now().Add(deadline)})
 				if err != nil {
 					ended <- name + ": " + err.Error()
 					return
@@ -287,7 +287,7 @@
 		require.Equal(t, "payment", <-ended)
 		require.Equal(t, "browse", <-ended)
 
-		held, err = dispatcher.Take(context.Background(), Demand{Deadline: now().Add(clock.Minute)})
+		held, err = dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
 		require.NoError(t, err)
 		begin("late", 2, clock.Minute, context.Background())
 		require.Equal(t, "late: "+ErrQueueWait.Error(), <-ended)
@@ -295,7 +295,7 @@
 		dispatcher.Remove("a")
 		require.Equal(t, "orphan: "+ErrNoTarget.Error(), <-ended)
 		held.Release(Succeeded)
-		_, err = dispatcher.Take(context.Background(), Demand{})
+		_, err = dispatcher.Acquire(context.Background(), PermitRequest{})
 		require.ErrorIs(t, err, ErrNoTarget)
 	})
 }
@@ -308,17 +308,17 @@
 	limit := TargetLimit{Limit: 1, OwnMost: 1}
 	dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 	dispatcher.SetLimit("a", limit, 0)
-	place, err := dispatcher.Take(context.Background(), Demand{Deadline: 1000})
+	place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: 1000})
 	require.NoError(t, err)
 	dispatcher.Remove("a")
 	dispatcher.Add("a", "127.0.0.1:2", "sofia-1")
 	dispatcher.SetLimit("a", limit, 0)
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = dispatcher.Take(gone, Demand{Deadline: 1000})
+	_, err = dispatcher.Acquire(gone, PermitRequest{Deadline: 1000})
 	require.Error(t, err)
 	place.Release(Succeeded)
-	again, err := dispatcher.Take(gone, Demand{Deadline: 1000})
+	again, err := dispatcher.Acquire(gone, PermitRequest{Deadline: 1000})
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:2", again.Target.Address)
 }
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -47,7 +47,7 @@
 	return cost
 }
 
-func (exhaustive *exhaustive) best(demand Demand, despiteFailures bool) *candidate {
+func (exhaustive *exhaustive) best(demand PermitRequest, despiteFailures bool) *candidate {
 	expected := exhaustive.expect(demand.Class)
 	var best, tried *candidate
 	var least clock.Milliseconds
@@ -115,7 +115,7 @@
 	upheaval.worse = append(upheaval.worse, float64(exhaustive.cost(found, work, 0)/exhaustive.cost(expected, work, 0)-1))
 }
 
-func (upheaval *upheaval) despite(demand Demand) *candidate {
+func (upheaval *upheaval) despite(demand PermitRequest) *candidate {
 	found, _ := upheaval.scheduler.best(upheaval.clock.Now(), upheaval.scheduler.expect(demand.Class), demand.Tried, true)
 	require.True(upheaval, found == nil || found.offer.Usable && !found.down && found.open(upheaval.clock.Now(), true), "open despite failures")
 	return found
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -125,7 +125,7 @@
 )
 
 // learn takes the time of a request that started on a fast target as the usual one, but for what others on the target made of it.
-func (scheduler *Scheduler) learn(place Place, held clock.Milliseconds) {
+func (scheduler *Scheduler) learn(place Permit, held clock.Milliseconds) {
 	known := place.expected
 	known.size += learnWeight * (float64(place.Size) - known.size)
 	slotClass := place.candidate.slotClass
@@ -148,7 +148,7 @@
 
 // learnPace takes the time of a request to tell whether requests keep the pace at which they start. The usual work of a class must be
 // known for it.
-func (scheduler *Scheduler) learnPace(now clock.Moment, place Place, held clock.Milliseconds, finished bool) {
+func (scheduler *Scheduler) learnPace(now clock.Moment, place Permit, held clock.Milliseconds, finished bool) {
 	known := place.expected
 	if known.told < learntFrom {
 		return
@@ -179,7 +179,7 @@
 const mostOutlying = 2.5
 
 // Observe takes a reading that came with the answer to the place's request.
-func (place Place) Observe(reading Reading) {
+func (place Permit) Observe(reading Reading) {
 	if place.scheduler != nil {
 		place.scheduler.Observe(place.Target.Name, reading)
 	}
--- a/internal/service/overload_test.go
+++ b/internal/service/overload_test.go
@@ -45,7 +45,7 @@
 
 func (run *overloadRun) one(priority settings.Priority) {
 	begun := time.Now()
-	place, err := run.dispatcher.Take(context.Background(), Demand{Priority: priority, Deadline: run.dispatcher.clock.Now().Add(2 * clock.Second)})
+	place, err := run.dispatcher.Acquire(context.Background(), PermitRequest{Priority: priority, Deadline: run.dispatcher.clock.Now().Add(2 * clock.Second)})
 	waited := time.Since(begun)
 	if err == nil {
 		time.Sleep(run.service)
@@ -84,17 +84,17 @@
 		})
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 		dispatcher.SetLimit("a", TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}, 0)
-		demand := func() Demand { return Demand{Deadline: dispatcher.clock.Now().Add(5 * clock.Second)} }
+		demand := func() PermitRequest { return PermitRequest{Deadline: dispatcher.clock.Now().Add(5 * clock.Second)} }
 		for range 20 {
-			place, err := dispatcher.Take(context.Background(), demand())
+			place, err := dispatcher.Acquire(context.Background(), demand())
 			require.NoError(t, err)
 			time.Sleep(time.Minute)
 			place.Release(Succeeded)
 		}
-		long, err := dispatcher.Take(context.Background(), demand())
+		long, err := dispatcher.Acquire(context.Background(), demand())
 		require.NoError(t, err)
 		time.AfterFunc(time.Second, func() { long.Release(Succeeded) })
-		_, err = dispatcher.Take(context.Background(), demand())
+		_, err = dispatcher.Acquire(context.Background(), demand())
 		require.NoError(t, err)
 	})
 }
--- a/internal/service/placing.go
+++ b/internal/service/placing.go
@@ -3,24 +3,24 @@
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
 // TryTake takes a place for a second copy of a request, if one is free on another target that is fast.
-func (scheduler *Scheduler) TryTake(demand Demand) (Place, bool) {
+func (scheduler *Scheduler) TryTake(demand PermitRequest) (Permit, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	if scheduler.waiting.length > 0 || !scheduler.mayStartLate(now) {
-		return Place{}, false
+		return Permit{}, false
 	}
 	expected := scheduler.expect(demand.Class)
 	best, finish := scheduler.best(now, expected, demand.Tried, false)
 	if best == nil || best.Target == demand.Tried || finish > 2*expected.work {
-		return Place{}, false
+		return Permit{}, false
 	}
 	return scheduler.bind(now, best, expected, rankOf(demand, false)), true
 }
 
 // Slow reports whether the request at the place takes long: its target was slow when it started, or has slowed down since where
 // requests follow that; or the target has gone.
-func (place Place) Slow() bool {
+func (place Permit) Slow() bool {
 	if place.scheduler == nil {
 		return false
 	}
@@ -38,19 +38,19 @@
 	return scheduler.mayFollow(now) && known.slowdownAt(now, 1) >= slowFrom
 }
 
-func (scheduler *Scheduler) takeNow(now clock.Moment, waiter *rankedWaiter) (Place, bool) {
+func (scheduler *Scheduler) takeNow(now clock.Moment, waiter *rankedWaiter) (Permit, bool) {
 	if waiter.late() && !scheduler.mayStartLate(now) {
-		return Place{}, false
+		return Permit{}, false
 	}
 	chosen := scheduler.choose(now, waiter)
 	if chosen == nil {
-		return Place{}, false
+		return Permit{}, false
 	}
 	return scheduler.bind(now, chosen, waiter.expected, waiter.rank), true
 }
 
 // bind takes a place on the chosen target.
-func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, expected *expectation, rank rank) Place {
+func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, expected *expectation, rank rank) Permit {
 	cold := chosen.cold(now)
 	if cold {
 		chosen.tokens--
@@ -70,7 +70,7 @@
 	} else {
 		scheduler.fileTaken(now, chosen)
 	}
-	return Place{
+	return Permit{
 		flight: started, tried: tried,
 		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: expected,
 		Taken: taken, Listed: scheduler.usable, since: now,
@@ -91,7 +91,7 @@
 }
 
 // release gives a place back and learns from how the request ended.
-func (scheduler *Scheduler) release(place Place, result Result) {
+func (scheduler *Scheduler) release(place Permit, result Result) {
 	now := scheduler.clock.Now()
 	held := now.Since(place.since)
 	scheduler.mutex.Lock()
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -20,7 +20,7 @@
 )
 
 // rankOf ranks a request by its team's priority and then by its own.
-func rankOf(demand Demand, late bool) rank {
+func rankOf(demand PermitRequest, late bool) rank {
 	urgency := rank(demand.TeamPriority)*priorities + rank(demand.Priority)
 	if late {
 		return firstLate + urgency
@@ -30,7 +30,7 @@
 
 // rankedWaiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
 type rankedWaiter struct {
-	demand Demand
+	demand PermitRequest
 	// expected is what is known of its class.
 	expected *expectation
 	since    clock.Moment
@@ -48,7 +48,7 @@
 }
 
 type scheduledGrant struct {
-	place Place
+	place Permit
 	err   error
 }
 
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -222,8 +222,8 @@
 }
 
 // Take waits for a place. The error is a *RefusedError, or the context's.
-func (scheduler *Scheduler) Take(ctx context.Context, demand Demand) (Place, error) {
-	place, ticket, err := scheduler.Enter(demand)
+func (scheduler *Scheduler) Take(ctx context.Context, demand PermitRequest) (Permit, error) {
+	place, ticket, err := scheduler.AcquireOrEnqueue(demand)
 	if ticket == nil {
 		return place, err
 	}
@@ -281,7 +281,7 @@
 }
 
 // ReadingAge is how old the reading was on which the choice rested, 0 when there was none.
-func (place Place) ReadingAge(now clock.Moment) clock.Milliseconds {
+func (place Permit) ReadingAge(now clock.Moment) clock.Milliseconds {
 	if place.Reading.At == 0 {
 		return 0
 	}
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -18,8 +18,8 @@
 	now       atomic.Int64
 	names     []settings.TargetName
 	nextTold  int
-	held      []Place
-	waiting   []*Ticket
+	held      []Permit
+	waiting   []*PendingPermit
 }
 
 const (
@@ -76,15 +76,15 @@
 	}
 }
 
-func (fleet *benchFleet) demand() Demand {
+func (fleet *benchFleet) demand() PermitRequest {
 	now := fleet.moment()
-	return Demand{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
+	return PermitRequest{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
 
 // fill takes the given part of what fits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+		place, ticket, err := fleet.scheduler.AcquireOrEnqueue(fleet.demand())
 		if ticket != nil || err != nil {
 			b.Fatal("no place")
 		}
@@ -95,7 +95,7 @@
 // overfill takes all places, and has 500 requests wait.
 func (fleet *benchFleet) overfill(b *testing.B) {
 	for len(fleet.waiting) < 500 {
-		place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+		place, ticket, err := fleet.scheduler.AcquireOrEnqueue(fleet.demand())
 		switch {
 		case err != nil:
 			b.Fatal(err)
@@ -140,7 +140,7 @@
 			fleet.fill(b, 0.4)
 			b.ReportAllocs()
 			for count := 1; b.Loop(); count++ {
-				place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+				place, ticket, err := fleet.scheduler.AcquireOrEnqueue(fleet.demand())
 				if ticket != nil || err != nil {
 					b.Fatal("no place")
 				}
@@ -158,13 +158,13 @@
 					fleet.release()
 					fleet.collect()
 				}
-				_, ticket, err := fleet.scheduler.Enter(fleet.demand())
+				_, ticket, err := fleet.scheduler.AcquireOrEnqueue(fleet.demand())
 				if err != nil {
 					b.Fatal(err)
 				}
 				if count%8 < 5 {
 					fleet.waiting = append(fleet.waiting, ticket)
-				} else if _, err = ticket.GiveUp(); err == nil {
+				} else if _, err = ticket.Cancel(); err == nil {
 					b.Fatal("a place for one that gave up")
 				}
 				fleet.pause(b, count)
@@ -196,7 +196,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(loop *testing.PB) {
 				for loop.Next() {
-					place, ticket, err := fleet.scheduler.Enter(fleet.demand())
+					place, ticket, err := fleet.scheduler.AcquireOrEnqueue(fleet.demand())
 					if ticket != nil || err != nil {
 						b.Error("no place")
 						return
--- a/internal/service/ticket.go
+++ b/internal/service/ticket.go
@@ -9,20 +9,20 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Ticket is a request that waits for a place. Whoever holds it looks whether there is one, which needs no goroutine of its own.
-type Ticket struct {
+// PendingPermit is a request that waits for a place. Whoever holds it looks whether there is one, which needs no goroutine of its own.
+type PendingPermit struct {
 	scheduler *Scheduler
 	waiter    rankedWaiter
 }
 
-// Enter asks for a place without waiting: it returns one, or a ticket, or a *RefusedError.
-func (scheduler *Scheduler) Enter(demand Demand) (Place, *Ticket, error) {
+// AcquireOrEnqueue asks for a place without waiting: it returns one, or a ticket, or a *RefusedError.
+func (scheduler *Scheduler) AcquireOrEnqueue(demand PermitRequest) (Permit, *PendingPermit, error) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	scheduler.lastTake = now
 	if scheduler.usable == 0 {
-		return Place{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: comeBackNoTarget}
+		return Permit{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: comeBackNoTarget}
 	}
 	waiter := scheduler.newWaiter(now, demand)
 	if scheduler.waiting.ahead(waiter.rank) == 0 {
@@ -30,33 +30,33 @@
 			return place, nil, nil
 		}
 	}
-	ticket := &Ticket{scheduler: scheduler, waiter: waiter}
+	ticket := &PendingPermit{scheduler: scheduler, waiter: waiter}
 	ticket.waiter.done = make(chan scheduledGrant, 1)
 	if err := scheduler.enqueue(now, &ticket.waiter); err != nil {
-		return Place{}, nil, err
+		return Permit{}, nil, err
 	}
-	return Place{}, ticket, nil
+	return Permit{}, ticket, nil
 }
 
 // Poll returns the place or the refusal, if there is one by now.
-func (ticket *Ticket) Poll() (Place, bool, error) {
+func (ticket *PendingPermit) Poll() (Permit, bool, error) {
 	select {
 	case granted := <-ticket.waiter.done:
 		place, err := ticket.scheduler.granted(&ticket.waiter, granted)
 		return place, true, err
 	default:
-		return Place{}, false, nil
+		return Permit{}, false, nil
 	}
 }
 
-// Until is when the wait is over.
-func (ticket *Ticket) Until() clock.Moment {
+// WaitDeadline is when the wait is over.
+func (ticket *PendingPermit) WaitDeadline() clock.Moment {
 	return ticket.waiter.until
 }
 
-// GiveUp ends the wait. A place that has come meanwhile is returned, or else it would stay taken for ever; otherwise the error is a
+// Cancel ends the wait. A place that has come meanwhile is returned, or else it would stay taken for ever; otherwise the error is a
 // *RefusedError.
-func (ticket *Ticket) GiveUp() (Place, error) {
+func (ticket *PendingPermit) Cancel() (Permit, error) {
 	scheduler := ticket.scheduler
 	scheduler.mutex.Lock()
 	stillWaiting := scheduler.waiting.remove(&ticket.waiter)
@@ -65,11 +65,11 @@
 	if !stillWaiting {
 		return scheduler.granted(&ticket.waiter, <-ticket.waiter.done)
 	}
-	return Place{}, &RefusedError{Cause: ErrQueueWait, ComeBack: comeBack}
+	return Permit{}, &RefusedError{Cause: ErrQueueWait, ComeBack: comeBack}
 }
 
 // wait blocks until there is a place or a refusal.
-func (ticket *Ticket) wait(ctx context.Context) (Place, error) {
+func (ticket *PendingPermit) wait(ctx context.Context) (Permit, error) {
 	scheduler, waiter := ticket.scheduler, &ticket.waiter
 	timer := time.NewTimer(waiter.until.Since(scheduler.clock.Now()).Duration())
 	defer timer.Stop()
@@ -81,16 +81,16 @@
 	case <-ctx.Done():
 		cancelled = ctx.Err()
 	}
-	place, err := ticket.GiveUp()
+	place, err := ticket.Cancel()
 	if cancelled != nil && errors.Is(err, ErrQueueWait) {
-		return Place{}, cancelled
+		return Permit{}, cancelled
 	}
 	return place, err
 }
 
-func (scheduler *Scheduler) granted(waiter *rankedWaiter, granted scheduledGrant) (Place, error) {
+func (scheduler *Scheduler) granted(waiter *rankedWaiter, granted scheduledGrant) (Permit, error) {
 	if granted.err != nil {
-		return Place{}, granted.err
+		return Permit{}, granted.err
 	}
 	place := granted.place
 	place.Waited = place.since.Since(waiter.since)
--- a/internal/service/upheaval_test.go
+++ b/internal/service/upheaval_test.go
@@ -20,8 +20,8 @@
 	offers    []Offer
 	phases    []clock.Milliseconds
 	steady    bool
-	places    []Place
-	tickets   []*Ticket
+	places    []Permit
+	tickets   []*PendingPermit
 	// worse is by what part each choice among many costs more than the best one.
 	worse []float64
 }
@@ -71,9 +71,9 @@
 	upheaval.scheduler.Observe(upheaval.offers[number].Name, reading)
 }
 
-func (upheaval *upheaval) demand() Demand {
+func (upheaval *upheaval) demand() PermitRequest {
 	now := upheaval.clock.Now()
-	demand := Demand{
+	demand := PermitRequest{
 		Priority: settings.Priority(upheaval.random.IntN(int(settings.LowestPriority) + 1)),
 		Class:    settings.ClassName([]string{"look", "claim"}[upheaval.random.IntN(2)]),
 		Aim:      now.Add(clock.Milliseconds(upheaval.random.IntN(600))), Deadline: now.Add(1500),
@@ -91,7 +91,7 @@
 	case kind < 400:
 		upheaval.observe()
 	case kind < 650:
-		place, ticket, err := scheduler.Enter(upheaval.demand())
+		place, ticket, err := scheduler.AcquireOrEnqueue(upheaval.demand())
 		if ticket != nil {
 			upheaval.tickets = append(upheaval.tickets, ticket)
 		} else if err == nil {
@@ -139,10 +139,10 @@
 }
 
 func (upheaval *upheaval) collect() {
-	upheaval.tickets = slices.DeleteFunc(upheaval.tickets, func(ticket *Ticket) bool {
+	upheaval.tickets = slices.DeleteFunc(upheaval.tickets, func(ticket *PendingPermit) bool {
 		place, found, err := ticket.Poll()
-		if !found && upheaval.clock.Now() >= ticket.Until() {
-			place, err = ticket.GiveUp()
+		if !found && upheaval.clock.Now() >= ticket.WaitDeadline() {
+			place, err = ticket.Cancel()
 			found = true
 		}
 		if found && err == nil {
--- a/internal/service/waiter.go
+++ b/internal/service/waiter.go
@@ -9,7 +9,7 @@
 
 // waiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
 type waiter struct {
-	demand  Demand
+	demand  PermitRequest
 	since   clock.Moment
 	longest clock.Milliseconds
 	done    chan grant
