--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -161,7 +161,7 @@
 	quick.Fleet.InstancesPerService = policy.serving
 	quick.Fleet.HeartbeatEvery = 300 * clock.Millisecond
 	quick.Fleet.SuspectAfter = clock.Second
-	if policy.policy.ReadsReports() {
+	if policy.policy.NeedsLoadReports() {
 		quick.Measuring.ReportsPerTargetPerSecond = 10
 	}
 	return sitetest.Start(sitetest.Options{
--- a/cmd/fleet.go
+++ b/cmd/fleet.go
@@ -188,7 +188,7 @@
 		for _, service := range status.Services {
 			waiting += service.Waiting
 			for _, target := range service.Targets {
-				inFlight += target.Own
+				inFlight += target.OwnInFlight
 			}
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%t\t%d\t%d\t%d\t%d\t%d\n", status.Instance, status.DataCentre, status.State, status.Ready, status.Reads,
--- a/cmd/fleet_test.go
+++ b/cmd/fleet_test.go
@@ -70,7 +70,7 @@
 			first := fleet.Status{
 				Instance: "entry-1", DataCentre: "sofia-a", State: "serving", Ready: true, Version: 7,
 				Peers:    []fleet.PeerStatus{{Name: "entry-2", Address: "127.7.7.2:1", State: "serving", Version: 7}},
-				Services: []fleet.ServiceStatus{{Name: "browsing", Targets: []service.TargetState{{Own: 3}}}},
+				Services: []fleet.ServiceStatus{{Name: "browsing", Targets: []service.TargetState{{OwnInFlight: 3}}}},
 			}
 			if testCase.third != "" {
 				first.Peers = append(first.Peers, fleet.PeerStatus{Name: "entry-3", Address: testCase.third, State: "serving", Version: 7})
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -128,7 +128,7 @@
 		Instance: "entry-1", Ready: true, Problems: map[string]string{"site": "wrong"},
 		Peers: []control.PeerStatus{{Name: "entry-2", Suspected: true}},
 		Services: []control.ServiceStatus{{Name: "browsing", Targets: []control.TargetStatus{
-			{TargetState: service.TargetState{Name: "browsing-1", Own: 3, Limit: 6}, Phase: "warm", Owned: true},
+			{TargetState: service.TargetState{Name: "browsing-1", OwnInFlight: 3, Limit: 6}, Phase: "warm", Owned: true},
 		}}},
 	})
 	code, out, _ := runLine("status", "--operator", address)
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -55,7 +55,7 @@
 		fmt.Fprintln(table, "target\tdata centre\taddress\tphase\towned\town\theld\tlimit\tfailures\tconns")
 		for _, target := range service.Targets {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%t\t%d\t%d\t%d\t%d\t%d\n", target.Name, target.DataCentre, target.Address,
-				target.Phase, target.Owned, target.Own, target.Held, target.Limit, target.Failures, target.Connections)
+				target.Phase, target.Owned, target.OwnInFlight, target.PenaltyPermits, target.Limit, target.Failures, target.Connections)
 		}
 	}
 	return table.Flush()
--- a/internal/caller/answer.go
+++ b/internal/caller/answer.go
@@ -67,7 +67,7 @@
 	exchange := attempt.exchange
 	status := exchange.Response.StatusCode
 	call.startAnswer(exchange)
-	call.place.Size = call.body.length() + len(attempt.buffered)
+	call.place.TransferredBytes = call.body.length() + len(attempt.buffered)
 	if exchange.Whole() {
 		// The answer is here in full, so its server is free again.
 		exchange.Close()
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -54,8 +54,8 @@
 	exchange, err := call.handler.options.Servers.Send(ctx, target.Name, request, freshOnly)
 	attempt := attempt{place: place, exchange: exchange, err: err, reached: !neverConnected(err)}
 	attempt.story = trace.Attempt{
-		Target: target.Name, DataCentre: target.DataCentre, Considered: place.Listed, Taken: place.Taken, Waited: place.Waited,
-		Slowdown: place.Reading.Slowdown, ReadingAge: max(place.ReadingAge(before), 0),
+		Target: target.Name, DataCentre: target.DataCentre, Considered: place.Considered, Taken: place.InFlight, Waited: place.QueueTime,
+		Slowdown: place.LoadReading.Slowdown, ReadingAge: max(place.ReadingAge(before), 0),
 	}
 	if err == nil {
 		call.judgeAnswer(&attempt)
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -74,7 +74,7 @@
 		return
 	}
 	defer call.body.watch(ctx)()
-	call.route.Service.Budget.Earn()
+	call.route.Service.Budget.Deposit()
 	call.forward(ctx)
 }
 
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -73,7 +73,7 @@
 	for _, address := range addresses {
 		name := settings.TargetName(address)
 		dispatcher.Add(name, address, "sofia-1")
-		dispatcher.SetLimit(name, service.TargetLimit{Limit: 2, ShareLeast: 2, OwnMost: 2}, 0)
+		dispatcher.SetLimit(name, service.TargetLimit{Limit: 2, MinShare: 2, MaxOwnInFlight: 2}, 0)
 		servers.Set(name, backendserver.Options{Address: address, ConnectionsMost: 2, Connections: serviceSettings.Connections})
 	}
 	fixture.table = routing.NewTable(routing.Options{
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -76,9 +76,9 @@
 	before := call.now()
 	place, err := call.route.Service.Acquire(ctx, call.demand())
 	if err == nil {
-		call.queued += place.Waited
+		call.queued += place.QueueTime
 		call.place = place
-		if (place.Waited > 0 || len(call.attempts) > 0) && call.revoked() {
+		if (place.QueueTime > 0 || len(call.attempts) > 0) && call.revoked() {
 			return call.endRevoked()
 		}
 		return nil
@@ -115,7 +115,7 @@
 
 func (call *call) demand() service.PermitRequest {
 	return service.PermitRequest{
-		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, Tried: call.tried,
+		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, PreviousTarget: call.tried,
 		Class: call.route.Class.Name, Aim: call.aim,
 	}
 }
@@ -167,7 +167,7 @@
 	if attempt.free {
 		return true
 	}
-	return call.attemptNumber() == 0 && call.route.Service.Budget.Spend()
+	return call.attemptNumber() == 0 && call.route.Service.Budget.TryWithdraw()
 }
 
 func (call *call) attemptsMost() int {
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -39,8 +39,8 @@
 		return *winner
 	}
 	call.attempts = append(call.attempts, trace.Attempt{
-		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Listed, Taken: first.Taken,
-		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "a second copy was sent",
+		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Considered, Taken: first.InFlight,
+		Waited: first.QueueTime, Slowdown: first.LoadReading.Slowdown, Result: trace.ResultCut, Error: "a second copy was sent",
 	})
 	call.route.Class.Metrics.CountRetry()
 	call.repeatQuota()
@@ -118,7 +118,7 @@
 		now := call.now()
 		if ctx.Err() == nil && call.mayRepeat() && !call.revoked() && (now >= overdue || first.Slow()) {
 			demand := call.demand()
-			demand.Tried = first.Target
+			demand.PreviousTarget = first.Target
 			if second, taken := call.takeSecond(demand); taken {
 				return second, nil
 			}
@@ -132,7 +132,7 @@
 	if !taken {
 		return service.Permit{}, false
 	}
-	if !call.route.Service.Budget.Spend() {
+	if !call.route.Service.Budget.TryWithdraw() {
 		second.Release(service.Cancelled)
 		return service.Permit{}, false
 	}
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -137,7 +137,7 @@
 	}
 	state.settings = parsed
 	state.dispatcher.SetLimits(limitsOf(parsed))
-	state.budget.SetShare(parsed.Retry.BudgetShare)
+	state.budget.SetRetryRatio(parsed.Retry.BudgetShare)
 	return true, nil
 }
 
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -174,7 +174,7 @@
 	controller.sendHeartbeats(now, false)
 	for _, state := range controller.services {
 		controller.tendTargets(now, state)
-		state.dispatcher.Sweep()
+		state.dispatcher.ReleaseExpiredPenalties()
 	}
 	if now.Since(controller.lastTick) > clock.Second {
 		controller.lastTick = now
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -145,7 +145,7 @@
 		if target.owned {
 			controller.warmUp(now, state, name, target)
 		}
-		if target.owned || controller.options.Policy.ReadsReports() {
+		if target.owned || controller.options.Policy.NeedsLoadReports() {
 			controller.askReport(now, state, name, target)
 		}
 		controller.setLimit(now, state, name, target)
@@ -215,7 +215,7 @@
 	if !known {
 		return
 	}
-	state.dispatcher.SetReported(read.target, read.report.InFlight+read.report.Queued)
+	state.dispatcher.SetReportedLoad(read.target, read.report.InFlight+read.report.Queued)
 	before := target.startedMs
 	target.startedMs = read.report.StartedMs
 	if before != 0 && before != target.startedMs && target.owned {
@@ -240,16 +240,16 @@
 	ownMost := controller.connectionShare(state)
 	switch {
 	case target.phase == phaseWarm && controller.serves(state):
-		return service.WarmShare(controller.options.Policy, state.settings.SlotsPerTarget, len(state.serving), ownMost)
+		return service.WarmTargetLimit(controller.options.Policy, state.settings.SlotsPerTarget, len(state.serving), ownMost)
 	case target.phase == phaseWarm:
 		// Callers with an old answer are served, but never with much of a target.
-		return service.TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}
+		return service.TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}
 	case target.phase == phaseCold && target.owned:
 		warmup := service.Warmup{
-			Places: state.settings.ColdStart.Places, Slots: state.settings.SlotsPerTarget, FullAfter: state.settings.ColdStart.FullAfter,
+			InitialLimit: state.settings.ColdStart.Places, FullLimit: state.settings.SlotsPerTarget, RampDuration: state.settings.ColdStart.FullAfter,
 		}
 		limit := min(warmup.LimitAt(now.Since(target.rampStart)), ownMost)
-		return service.TargetLimit{Limit: limit, OwnMost: limit}
+		return service.TargetLimit{Limit: limit, MaxOwnInFlight: limit}
 	default:
 		return service.TargetLimit{}
 	}
--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -46,11 +46,11 @@
 					nextRestart = now.Add(testCase.restarts)
 				}
 				budget := budgets[random.IntN(serving)]
-				budget.Earn()
+				budget.Deposit()
 				asked = append(asked, now)
 				// For ten seconds in twenty all requests are sent as often as may be, after savings have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
-				for failing && budget.Spend() {
+				for failing && budget.TryWithdraw() {
 					again = append(again, now)
 				}
 			}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -108,8 +108,8 @@
 		controller.services[name] = state
 	}
 	state.limits = limits
-	state.budget.SetShare(controller.options.Bounds.RetryShare * budgetMargin)
-	state.budget.SetMost(controller.options.Bounds.RetrySlack / budgetShares)
+	state.budget.SetRetryRatio(controller.options.Bounds.RetryShare * budgetMargin)
+	state.budget.SetCapacity(controller.options.Bounds.RetrySlack / budgetShares)
 	state.settings = &settings.Service{
 		Revision:             settings.Revision(controller.view.Configuration.Version),
 		ConnectionsPerTarget: limits.ConnectionsMost,
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -24,6 +24,6 @@
 	require.Equal(t, 1, fill(t, scheduler), "one of two places is taken")
 	place.Release(Succeeded)
 	targets, waiting := scheduler.State()
-	require.Equal(t, 2, targets[0].Own, "the one that waited has the released place")
+	require.Equal(t, 2, targets[0].OwnInFlight, "the one that waited has the released place")
 	require.Zero(t, waiting)
 }
--- a/internal/service/baseline.go
+++ b/internal/service/baseline.go
@@ -8,9 +8,9 @@
 
 // The policies.
 const (
-	// PolicyLeastTaken takes the smallest share of places taken as this instance counts them, and lets requests wait in
+	// PolicyLeastUtilized takes the smallest share of places taken as this instance counts them, and lets requests wait in
 	// the instance when all places are taken.
-	PolicyLeastTaken Policy = "leastTaken"
+	PolicyLeastUtilized Policy = "leastTaken"
 	// PolicyDoubleShare does the same with twice the places at each serving instance.
 	PolicyDoubleShare Policy = "doubleShare"
 	// PolicyRandom takes any target.
@@ -24,7 +24,7 @@
 )
 
 // Policies lists every policy.
-var Policies = []Policy{PolicyLeastTaken, PolicyDoubleShare, PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyTwoChoicesOwn}
+var Policies = []Policy{PolicyLeastUtilized, PolicyDoubleShare, PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyTwoChoicesOwn}
 
 // evenShares is how many even shares of a warm target's slots a serving instance may take.
 func (policy Policy) evenShares() int {
@@ -34,20 +34,20 @@
 	return 1
 }
 
-// ReadsReports reports whether the policy needs every instance to read every target's load report.
-func (policy Policy) ReadsReports() bool {
+// NeedsLoadReports reports whether the policy needs every instance to read every target's load report.
+func (policy Policy) NeedsLoadReports() bool {
 	return policy == PolicyTwoChoices
 }
 
 // choose picks a target by the policy in force, or returns nil when none takes a request.
 func (dispatcher *Dispatcher) choose(demand PermitRequest) *Target {
-	if dispatcher.policy == PolicyLeastTaken || dispatcher.policy == PolicyDoubleShare {
-		if demand.Tried == nil {
+	if dispatcher.policy == PolicyLeastUtilized || dispatcher.policy == PolicyDoubleShare {
+		if demand.PreviousTarget == nil {
 			return dispatcher.index.least(dispatcher.random, nil)
 		}
-		return dispatcher.index.least(dispatcher.random, &demand.Tried.listing)
+		return dispatcher.index.least(dispatcher.random, &demand.PreviousTarget.listing)
 	}
-	open := dispatcher.openTargets(demand.Tried)
+	open := dispatcher.openTargets(demand.PreviousTarget)
 	if len(open) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 		return lesser(first, second, first.reported, second.reported)
 	case PolicyTwoChoicesOwn:
 		return lesser(first, second, first.own, second.own)
-	case PolicyRandom, PolicyLeastTaken, PolicyDoubleShare:
+	case PolicyRandom, PolicyLeastUtilized, PolicyDoubleShare:
 	}
 	return first
 }
@@ -85,8 +85,8 @@
 	return open
 }
 
-// SetReported notes the load that a target told of itself.
-func (dispatcher *Dispatcher) SetReported(name settings.TargetName, load int) {
+// SetReportedLoad notes the load that a target told of itself.
+func (dispatcher *Dispatcher) SetReportedLoad(name settings.TargetName, load int) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	if target, known := dispatcher.targets[name]; known {
--- a/internal/service/budget.go
+++ b/internal/service/budget.go
@@ -22,7 +22,7 @@
 	budget := &RetryBudget{}
 	budget.most.Store(budgetMost)
 	budget.thousandths.Store(budgetMost)
-	budget.SetShare(share)
+	budget.SetRetryRatio(share)
 	return budget
 }
 
@@ -30,31 +30,31 @@
 // saves up to the given number. With a full one each, a fleet that is restarted would have a storm of them to spend at once.
 func NewSharedRetryBudget(share float64, most int) *RetryBudget {
 	budget := &RetryBudget{}
-	budget.SetMost(most)
+	budget.SetCapacity(most)
 	budget.thousandths.Store(budgetUnit)
-	budget.SetShare(share)
+	budget.SetRetryRatio(share)
 	return budget
 }
 
-// SetMost changes the number of retries that may be saved up.
-func (budget *RetryBudget) SetMost(most int) {
+// SetCapacity changes the number of retries that may be saved up.
+func (budget *RetryBudget) SetCapacity(most int) {
 	budget.most.Store(int64(max(most, 1)) * budgetUnit)
 }
 
-// SetShare changes the share of live requests that may be sent again, from 0 to 1.
-func (budget *RetryBudget) SetShare(share float64) {
+// SetRetryRatio changes the share of live requests that may be sent again, from 0 to 1.
+func (budget *RetryBudget) SetRetryRatio(share float64) {
 	budget.perRequest.Store(int64(share * budgetUnit))
 }
 
-// Earn counts one live request.
-func (budget *RetryBudget) Earn() {
+// Deposit counts one live request.
+func (budget *RetryBudget) Deposit() {
 	if budget.thousandths.Load() < budget.most.Load() {
 		budget.thousandths.Add(budget.perRequest.Load())
 	}
 }
 
-// Spend takes one retry out of the budget, and reports whether there was one.
-func (budget *RetryBudget) Spend() bool {
+// TryWithdraw takes one retry out of the budget, and reports whether there was one.
+func (budget *RetryBudget) TryWithdraw() bool {
 	for {
 		left := budget.thousandths.Load()
 		if left < budgetUnit {
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -36,7 +36,7 @@
 				place, _, err := scheduler.AcquireOrEnqueue(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
-				place.Size = testCase.size
+				place.TransferredBytes = testCase.size
 				place.Release(Succeeded)
 			}
 			scheduler.SetOffers([]Offer{home, {Name: "far", Slots: 8, Usable: true}})
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -67,8 +67,8 @@
 	TeamPriority settings.Priority
 	// Deadline is the moment at which the answer is worth nothing any more.
 	Deadline clock.Moment
-	// Tried is the target on which an earlier attempt of the request failed, or nil.
-	Tried *Target
+	// PreviousTarget is the target on which an earlier attempt of the request failed, or nil.
+	PreviousTarget *Target
 	// Class and Aim are used by a Scheduler only: requests of one class take about the same time, and Aim is the moment
 	// until which an answer is worth most.
 	Class settings.ClassName
@@ -79,18 +79,18 @@
 type Permit struct {
 	Target     *Target
 	dispatcher *Dispatcher
-	// Waited is how long the request waited for it.
-	Waited clock.Milliseconds
-	// Taken is the number of places in use on the target as this instance saw it, this one included.
-	Taken int
-	// Listed is the number of targets among which it was chosen.
-	Listed int
+	// QueueTime is how long the request waited for it.
+	QueueTime clock.Milliseconds
+	// InFlight is the number of places in use on the target as this instance saw it, this one included.
+	InFlight int
+	// Considered is the number of targets among which it was chosen.
+	Considered int
 	// since is when it was taken.
 	since clock.Moment
-	// Size is the length of the request and its answer in bytes, set before Release.
-	Size int
-	// Reading is what was known of the target when it was chosen.
-	Reading Reading
+	// TransferredBytes is the length of the request and its answer in bytes, set before Release.
+	TransferredBytes int
+	// LoadReading is what was known of the target when it was chosen.
+	LoadReading Reading
 
 	// scheduler and candidate stand in place of dispatcher on a place that a Scheduler gave.
 	scheduler *Scheduler
@@ -135,7 +135,7 @@
 // NewDispatcher returns a Dispatcher without targets.
 func NewDispatcher(options Options) *Dispatcher {
 	if options.Policy == "" {
-		options.Policy = PolicyLeastTaken
+		options.Policy = PolicyLeastUtilized
 	}
 	return &Dispatcher{
 		clock:   options.Clock,
@@ -223,8 +223,8 @@
 func (dispatcher *Dispatcher) changeLimit(target *Target, limit TargetLimit) {
 	dispatcher.capacity += limit.Limit - target.limit
 	target.limit = limit.Limit
-	target.shareLeast = limit.ShareLeast
-	target.ownMost = limit.OwnMost
+	target.shareLeast = limit.MinShare
+	target.ownMost = limit.MaxOwnInFlight
 	dispatcher.relist(target)
 }
 
@@ -281,7 +281,7 @@
 	dispatcher.own++
 	dispatcher.countShare(demand.Priority)
 	dispatcher.relist(target)
-	return Permit{Target: target, dispatcher: dispatcher, Taken: target.taken(), Listed: listed, since: now}, true
+	return Permit{Target: target, dispatcher: dispatcher, InFlight: target.taken(), Considered: listed, since: now}, true
 }
 
 // enqueue makes a request wait. One whose turn would not come in time is refused at once: it would wait for nothing, and
@@ -373,7 +373,7 @@
 		return Permit{}, granted.err
 	}
 	waited := dispatcher.clock.Now().Since(waiter.since)
-	return Permit{Target: granted.target, dispatcher: dispatcher, Waited: waited, Taken: granted.taken, since: granted.since}, nil
+	return Permit{Target: granted.target, dispatcher: dispatcher, QueueTime: waited, InFlight: granted.taken, since: granted.since}, nil
 }
 
 // serveWaiting gives free places to waiting requests.
@@ -385,7 +385,7 @@
 			return
 		}
 		dispatcher.waiting.remove(first)
-		first.done <- grant{target: place.Target, taken: place.Taken, since: place.since}
+		first.done <- grant{target: place.Target, taken: place.InFlight, since: place.since}
 	}
 }
 
@@ -457,8 +457,8 @@
 	}
 }
 
-// Sweep gives back the places whose time as a penalty is over. The control goroutine calls it every few milliseconds.
-func (dispatcher *Dispatcher) Sweep() {
+// ReleaseExpiredPenalties gives back the places whose time as a penalty is over. The control goroutine calls it every few milliseconds.
+func (dispatcher *Dispatcher) ReleaseExpiredPenalties() {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -480,14 +480,14 @@
 
 // TargetState is a copy of what the Dispatcher knows of a target.
 type TargetState struct {
-	Name       settings.TargetName     `json:"name"`
-	Address    string                  `json:"address"`
-	DataCentre settings.DataCentreName `json:"dataCentre"`
-	Own        int                     `json:"own"`
-	Held       int                     `json:"held"`
-	Others     int                     `json:"others"`
-	Limit      int                     `json:"limit"`
-	Failures   int                     `json:"failures"`
+	Name           settings.TargetName     `json:"name"`
+	Address        string                  `json:"address"`
+	DataCentre     settings.DataCentreName `json:"dataCentre"`
+	OwnInFlight    int                     `json:"own"`
+	PenaltyPermits int                     `json:"held"`
+	OthersInFlight int                     `json:"others"`
+	Limit          int                     `json:"limit"`
+	Failures       int                     `json:"failures"`
 }
 
 // State returns the state of every target, in no particular order, and the number of waiting requests.
@@ -501,14 +501,14 @@
 		}
 		states = append(states, TargetState{
 			Name: target.Name, Address: target.Address, DataCentre: target.DataCentre,
-			Own: target.own, Held: target.held, Others: target.others, Limit: target.limit, Failures: target.failures,
+			OwnInFlight: target.own, PenaltyPermits: target.held, OthersInFlight: target.others, Limit: target.limit, Failures: target.failures,
 		})
 	}
 	return states, dispatcher.waiting.length
 }
 
-// Own returns how many places this instance has taken on the target.
-func (dispatcher *Dispatcher) Own(name settings.TargetName) int {
+// OwnInFlight returns how many places this instance has taken on the target.
+func (dispatcher *Dispatcher) OwnInFlight(name settings.TargetName) int {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	if target, known := dispatcher.targets[name]; known {
--- a/internal/service/dispatcher_bench_test.go
+++ b/internal/service/dispatcher_bench_test.go
@@ -19,7 +19,7 @@
 	for number := range targets {
 		name := settings.TargetName(fmt.Sprintf("target-%d", number))
 		dispatcher.Add(name, "127.0.0.1:1", "sofia-1")
-		dispatcher.SetLimit(name, TargetLimit{Limit: slots, ShareLeast: slots, OwnMost: slots}, 0)
+		dispatcher.SetLimit(name, TargetLimit{Limit: slots, MinShare: slots, MaxOwnInFlight: slots}, 0)
 	}
 	return dispatcher
 }
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -49,13 +49,13 @@
 // share returns the share of places taken, or false when the target takes no more.
 func (target *naiveTarget) share() (float64, bool) {
 	mine := target.own + len(target.heldUntil)
-	if !target.present || target.limit.Limit == 0 || mine >= target.limit.OwnMost {
+	if !target.present || target.limit.Limit == 0 || mine >= target.limit.MaxOwnInFlight {
 		return 0, false
 	}
 	if taken := mine + target.others; taken < target.limit.Limit {
 		return float64(taken) / float64(target.limit.Limit), true
 	}
-	return 1, mine < target.limit.ShareLeast
+	return 1, mine < target.limit.MinShare
 }
 
 // free returns the smallest share taken among targets that take more.
@@ -101,7 +101,7 @@
 			"limit": func(t *rapid.T) {
 				name := names.Draw(t, "target")
 				slots := rapid.IntRange(0, 6).Draw(t, "slots")
-				limit := TargetLimit{Limit: slots, ShareLeast: rapid.IntRange(0, 2).Draw(t, "least"), OwnMost: rapid.IntRange(0, 8).Draw(t, "most")}
+				limit := TargetLimit{Limit: slots, MinShare: rapid.IntRange(0, 2).Draw(t, "least"), MaxOwnInFlight: rapid.IntRange(0, 8).Draw(t, "most")}
 				others := rapid.IntRange(0, 3).Draw(t, "others")
 				dispatcher.SetLimit(name, limit, others)
 				if target := model.targets[name]; target != nil && target.present {
@@ -122,7 +122,7 @@
 				require.True(t, takes)
 				require.LessOrEqual(t, share, least+1.0/levels)
 				target.own++
-				require.LessOrEqual(t, target.own, target.limit.OwnMost)
+				require.LessOrEqual(t, target.own, target.limit.MaxOwnInFlight)
 				places = append(places, place)
 			},
 			"release": func(t *rapid.T) {
@@ -157,7 +157,7 @@
 			},
 			"wait": func(t *rapid.T) {
 				manual.Advance(clock.Milliseconds(rapid.IntRange(1, 300).Draw(t, "ms")))
-				dispatcher.Sweep()
+				dispatcher.ReleaseExpiredPenalties()
 				for _, target := range model.targets {
 					target.heldUntil = later(target.heldUntil, manual.Now())
 				}
@@ -186,7 +186,7 @@
 	failed := 0
 	for range requests {
 		manual.Advance(1)
-		dispatcher.Sweep()
+		dispatcher.ReleaseExpiredPenalties()
 		place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: manual.Now().Add(clock.Second)})
 		require.NoError(t, err)
 		var number int
@@ -210,7 +210,7 @@
 	for number := range 10 {
 		name := settings.TargetName(fmt.Sprint(number))
 		dispatcher.Add(name, "127.0.0.1:1", "sofia-1")
-		dispatcher.SetLimit(name, TargetLimit{Limit: 6, ShareLeast: 6, OwnMost: 6}, 0)
+		dispatcher.SetLimit(name, TargetLimit{Limit: 6, MinShare: 6, MaxOwnInFlight: 6}, 0)
 	}
 	return dispatcher
 }
@@ -257,7 +257,7 @@
 			Limits: Limits{QueueLength: 8, QueueWait: 500, FailurePenalty: 100},
 		})
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
-		dispatcher.SetLimit("a", TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}, 0)
+		dispatcher.SetLimit("a", TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}, 0)
 		now := dispatcher.clock.Now
 		held, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
 		require.NoError(t, err)
@@ -305,7 +305,7 @@
 func TestReturningTargetKeepsItsCount(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := NewDispatcher(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1)), Limits: Limits{QueueLength: 1, QueueWait: 1}})
-	limit := TargetLimit{Limit: 1, OwnMost: 1}
+	limit := TargetLimit{Limit: 1, MaxOwnInFlight: 1}
 	dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 	dispatcher.SetLimit("a", limit, 0)
 	place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: 1000})
@@ -328,8 +328,8 @@
 	budget := NewRetryBudget(0.1)
 	spent := 0
 	for range 1000 {
-		budget.Earn()
-		if budget.Spend() {
+		budget.Deposit()
+		if budget.TryWithdraw() {
 			spent++
 		}
 	}
@@ -338,7 +338,7 @@
 
 // The limit of a server that warms up only grows, from its first places to all its slots.
 func TestWarmup(t *testing.T) {
-	warmup := Warmup{Places: 1, Slots: 6, FullAfter: 10 * clock.Second}
+	warmup := Warmup{InitialLimit: 1, FullLimit: 6, RampDuration: 10 * clock.Second}
 	require.Equal(t, 1, warmup.LimitAt(-1))
 	require.Equal(t, 1, warmup.LimitAt(0))
 	require.Equal(t, 3, warmup.LimitAt(5*clock.Second))
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -55,7 +55,7 @@
 		if !candidate.open(exhaustive.now, despiteFailures) {
 			continue
 		}
-		if candidate.Target == demand.Tried {
+		if candidate.Target == demand.PreviousTarget {
 			tried = candidate
 			continue
 		}
@@ -98,7 +98,7 @@
 	demand := upheaval.demand()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
 	expected := exhaustive.best(demand, false)
-	found, finish := scheduler.best(now, scheduler.expect(demand.Class), demand.Tried, false)
+	found, finish := scheduler.best(now, scheduler.expect(demand.Class), demand.PreviousTarget, false)
 	if expected == nil && found == nil {
 		require.Equal(upheaval, exhaustive.best(demand, true) == nil, upheaval.despite(demand) == nil, "any open despite failures")
 		return
@@ -110,13 +110,13 @@
 		require.InDelta(upheaval, float64(exhaustive.finish(expected, scheduler.expect(demand.Class), 1)), float64(finish), 1e-6)
 		return
 	}
-	require.Equal(upheaval, expected.Target == demand.Tried, found.Target == demand.Tried, "the one that was tried comes last")
+	require.Equal(upheaval, expected.Target == demand.PreviousTarget, found.Target == demand.PreviousTarget, "the one that was tried comes last")
 	work := scheduler.expect(demand.Class)
 	upheaval.worse = append(upheaval.worse, float64(exhaustive.cost(found, work, 0)/exhaustive.cost(expected, work, 0)-1))
 }
 
 func (upheaval *upheaval) despite(demand PermitRequest) *candidate {
-	found, _ := upheaval.scheduler.best(upheaval.clock.Now(), upheaval.scheduler.expect(demand.Class), demand.Tried, true)
+	found, _ := upheaval.scheduler.best(upheaval.clock.Now(), upheaval.scheduler.expect(demand.Class), demand.PreviousTarget, true)
 	require.True(upheaval, found == nil || found.offer.Usable && !found.down && found.open(upheaval.clock.Now(), true), "open despite failures")
 	return found
 }
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -127,7 +127,7 @@
 // learn takes the time of a request that started on a fast target as the usual one, but for what others on the target made of it.
 func (scheduler *Scheduler) learn(place Permit, held clock.Milliseconds) {
 	known := place.expected
-	known.size += learnWeight * (float64(place.Size) - known.size)
+	known.size += learnWeight * (float64(place.TransferredBytes) - known.size)
 	slotClass := place.candidate.slotClass
 	alone := held / slotClass.times(place.flight.first)
 	if !place.fast || known.told >= learntFrom && alone > mostOutlying*known.work {
--- a/internal/service/overload_test.go
+++ b/internal/service/overload_test.go
@@ -83,7 +83,7 @@
 			Clock: clock.New(), Rand: rand.New(rand.NewPCG(1, 1)), Limits: Limits{QueueLength: 10, QueueWait: 10 * clock.Second},
 		})
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
-		dispatcher.SetLimit("a", TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}, 0)
+		dispatcher.SetLimit("a", TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}, 0)
 		demand := func() PermitRequest { return PermitRequest{Deadline: dispatcher.clock.Now().Add(5 * clock.Second)} }
 		for range 20 {
 			place, err := dispatcher.Acquire(context.Background(), demand())
@@ -112,7 +112,7 @@
 		for number := range 10 {
 			name := settings.TargetName(fmt.Sprint(number))
 			run.dispatcher.Add(name, "127.0.0.1:1", "sofia-1")
-			run.dispatcher.SetLimit(name, TargetLimit{Limit: 2, ShareLeast: 2, OwnMost: 2}, 0)
+			run.dispatcher.SetLimit(name, TargetLimit{Limit: 2, MinShare: 2, MaxOwnInFlight: 2}, 0)
 		}
 		run.take()
 		const capacityPerSecond = 2000
--- a/internal/service/placing.go
+++ b/internal/service/placing.go
@@ -11,8 +11,8 @@
 		return Permit{}, false
 	}
 	expected := scheduler.expect(demand.Class)
-	best, finish := scheduler.best(now, expected, demand.Tried, false)
-	if best == nil || best.Target == demand.Tried || finish > 2*expected.work {
+	best, finish := scheduler.best(now, expected, demand.PreviousTarget, false)
+	if best == nil || best.Target == demand.PreviousTarget || finish > 2*expected.work {
 		return Permit{}, false
 	}
 	return scheduler.bind(now, best, expected, rankOf(demand, false)), true
@@ -73,9 +73,9 @@
 	return Permit{
 		flight: started, tried: tried,
 		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: expected,
-		Taken: taken, Listed: scheduler.usable, since: now,
-		fast:    !cold && chosen.slowdownAt(now, scheduler.meanSlowdown) < slowFrom,
-		Reading: chosen.reading,
+		InFlight: taken, Considered: scheduler.usable, since: now,
+		fast:        !cold && chosen.slowdownAt(now, scheduler.meanSlowdown) < slowFrom,
+		LoadReading: chosen.reading,
 	}
 }
 
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -273,8 +273,8 @@
 	states := make([]TargetState, 0, len(scheduler.ordered))
 	for _, known := range scheduler.ordered {
 		states = append(states, TargetState{
-			Name: known.Name, Address: known.Address, DataCentre: known.DataCentre, Own: known.own,
-			Others: known.others(now), Limit: known.room(), Failures: known.inARow,
+			Name: known.Name, Address: known.Address, DataCentre: known.DataCentre, OwnInFlight: known.own,
+			OthersInFlight: known.others(now), Limit: known.room(), Failures: known.inARow,
 		})
 	}
 	return states, scheduler.waiting.length
@@ -282,8 +282,8 @@
 
 // ReadingAge is how old the reading was on which the choice rested, 0 when there was none.
 func (place Permit) ReadingAge(now clock.Moment) clock.Milliseconds {
-	if place.Reading.At == 0 {
+	if place.LoadReading.At == 0 {
 		return 0
 	}
-	return now.Since(place.Reading.At)
+	return now.Since(place.LoadReading.At)
 }
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -47,10 +47,10 @@
 type TargetLimit struct {
 	// Limit is the number of places that all instances together should take.
 	Limit int
-	// ShareLeast is the number of places this instance may take whatever others take.
-	ShareLeast int
-	// OwnMost is the number of places this instance never exceeds.
-	OwnMost int
+	// MinShare is the number of places this instance may take whatever others take.
+	MinShare int
+	// MaxOwnInFlight is the number of places this instance never exceeds.
+	MaxOwnInFlight int
 }
 
 // taken is the number of places in use as far as this instance knows.
--- a/internal/service/ticket.go
+++ b/internal/service/ticket.go
@@ -93,6 +93,6 @@
 		return Permit{}, granted.err
 	}
 	place := granted.place
-	place.Waited = place.since.Since(waiter.since)
+	place.QueueTime = place.since.Since(waiter.since)
 	return place, nil
 }
--- a/internal/service/upheaval_test.go
+++ b/internal/service/upheaval_test.go
@@ -79,7 +79,7 @@
 		Aim:      now.Add(clock.Milliseconds(upheaval.random.IntN(600))), Deadline: now.Add(1500),
 	}
 	if upheaval.chance(0.2) {
-		demand.Tried = upheaval.scheduler.ordered[upheaval.random.IntN(len(upheaval.scheduler.ordered))].Target
+		demand.PreviousTarget = upheaval.scheduler.ordered[upheaval.random.IntN(len(upheaval.scheduler.ordered))].Target
 	}
 	return demand
 }
