--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -109,7 +109,7 @@
 	switch {
 	case errors.Is(err, routing.ErrNoService):
 		return refusal(http.StatusNotFound, outcome.ReasonNoService, err)
-	case errors.Is(err, routing.ErrNotUnderstood):
+	case errors.Is(err, routing.ErrUnresolvedRoute):
 		return &ending{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: clock.Second, cause: err}
 	case err != nil:
 		return refusal(http.StatusMethodNotAllowed, outcome.ReasonNoService, err)
@@ -125,7 +125,7 @@
 	call.deadline = call.started.Add(min(given, route.Class.Settings.Timeout))
 	call.aim = call.deadline
 	if aim := route.Class.Settings.Aim; aim > 0 {
-		call.aim = min(route.Service.Aim(route.Class.Name, call.started, aim, given), call.deadline)
+		call.aim = min(route.Service.SoftDeadline(route.Class.Name, call.started, aim, given), call.deadline)
 	}
 	if problem := call.boundByDrain(); problem != nil {
 		return problem
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -116,7 +116,7 @@
 func (call *call) demand() service.PermitRequest {
 	return service.PermitRequest{
 		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, PreviousTarget: call.tried,
-		Class: call.route.Class.Name, Aim: call.aim,
+		Class: call.route.Class.Name, SoftDeadline: call.aim,
 	}
 }
 
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -28,7 +28,7 @@
 	// Quota holds teams to their rate limits; it may be nil.
 	Quota *quota.Ledger
 	// Keys tells what the API keys of the table in force are worth; nil means that they are current.
-	Keys func() team.KeyStanding
+	Keys func() team.KeySetStatus
 	// Servers are the connections to backend servers.
 	Servers *backendserver.Servers
 	// Registry counts what belongs to no class.
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func (call *call) keyStanding() team.KeyStanding {
+func (call *call) keyStanding() team.KeySetStatus {
 	if call.handler.options.Keys == nil {
 		return team.KeysCurrent
 	}
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -270,7 +270,7 @@
 	}
 	demand := service.PermitRequest{
 		Priority: visit.class.Priority, Class: visit.class.Name, Deadline: visit.until,
-		Aim: instance.scheduler.Aim(visit.class.Name, now, visit.class.Aim, left),
+		SoftDeadline: instance.scheduler.Aim(visit.class.Name, now, visit.class.Aim, left),
 	}
 	instance.take(demand, func(place service.Permit, err error) {
 		if err != nil {
--- a/internal/fleet/consumer_test.go
+++ b/internal/fleet/consumer_test.go
@@ -61,7 +61,7 @@
 	for _, name := range slices.Sorted(maps.Keys(consumer.controller.services)) {
 		for range 4 {
 			place, ticket, err := consumer.controller.services[name].scheduler.AcquireOrEnqueue(service.PermitRequest{
-				Class: "class-0", Aim: now.Add(clock.Second), Deadline: now.Add(clock.Second),
+				Class: "class-0", SoftDeadline: now.Add(clock.Second), Deadline: now.Add(clock.Second),
 			})
 			if ticket != nil {
 				place, err = ticket.Cancel()
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -136,7 +136,7 @@
 	scheduler := fixture.controller.services["lookups"].scheduler
 	warm := service.Reading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
 	scheduler.Observe("target-0", warm)
-	place, found := scheduler.TryTake(service.PermitRequest{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	place, found := scheduler.TryTake(service.PermitRequest{Class: "class-0", SoftDeadline: fixture.clock.Now().Add(clock.Second)})
 	require.True(t, found, "a warm server takes requests whoever owns it")
 
 	anew := view(3, 1)
@@ -145,7 +145,7 @@
 	anew.Servers[0].Started = 99
 	anew.Servers[0].ColdFor = 3 * clock.Second
 	fixture.controller.applyView(anew)
-	_, found = scheduler.TryTake(service.PermitRequest{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	_, found = scheduler.TryTake(service.PermitRequest{Class: "class-0", SoftDeadline: fixture.clock.Now().Add(clock.Second)})
 	require.False(t, found, "this instance does not own it, so it may not start it")
 	place.Release(service.Failed)
 }
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -165,8 +165,8 @@
 }
 
 // Keys tells what the API keys of the table in force are worth.
-func (controller *Controller) Keys() team.KeyStanding {
-	return team.KeyStanding(controller.teams.keys.Load())
+func (controller *Controller) Keys() team.KeySetStatus {
+	return team.KeySetStatus(controller.teams.keys.Load())
 }
 
 // judgeKeys works out whether a newer configuration may be in force elsewhere, and whether this one is too old to be used.
@@ -182,7 +182,7 @@
 	case bounds.FailClosed && silent > bounds.RevokeWithin:
 		standing = team.KeysStale
 	case silent > currentFor || controller.view == nil || controller.versionBehind():
-		standing = team.KeysUnsure
+		standing = team.KeysUnverified
 	}
 	controller.teams.keys.Store(int32(standing))
 }
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -98,7 +98,7 @@
 	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
 	fixture.pass(currentFor + 3*tickStandby)
 	fixture.controller.tick()
-	require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
+	require.Equal(t, team.KeysUnverified, fixture.controller.Keys())
 	fixture.second()
 	require.Equal(t, team.KeysCurrent, fixture.controller.Keys())
 }
@@ -108,9 +108,9 @@
 	cases := []struct {
 		name     string
 		closed   bool
-		expected team.KeyStanding
+		expected team.KeySetStatus
 	}{
-		{"open", false, team.KeysUnsure},
+		{"open", false, team.KeysUnverified},
 		{"closed", true, team.KeysStale},
 	}
 	for _, testCase := range cases {
@@ -119,7 +119,7 @@
 			fixture.controller.options.Bounds = settings.GatewayBounds{ProbesPerSecond: 60, FailClosed: testCase.closed, RevokeWithin: 5 * clock.Second}
 			fixture.pass(4 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, team.KeysUnsure, fixture.controller.Keys())
+			require.Equal(t, team.KeysUnverified, fixture.controller.Keys())
 			fixture.pass(2 * clock.Second)
 			fixture.controller.tick()
 			require.Equal(t, testCase.expected, fixture.controller.Keys())
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -262,7 +262,7 @@
 		Metrics: controller.options.Registry.Class(key),
 	}}
 	for _, part := range route.Split {
-		entry.Parts = append(entry.Parts, routing.Part{Service: services[part.Service], Weight: part.Weight})
+		entry.Services = append(entry.Services, routing.WeightedService{Service: services[part.Service], Weight: part.Weight})
 	}
 	return entry
 }
--- a/internal/routing/entry.go
+++ b/internal/routing/entry.go
@@ -15,14 +15,14 @@
 	Class  *Class
 	// Public says that requests need no API key.
 	Public bool
-	// Parts is empty when it is not known where the requests belong.
-	Parts []Part
+	// Services is empty when it is not known where the requests belong.
+	Services []WeightedService
 
 	mutex sync.Mutex
 }
 
-// Part is a service's part of an entry's requests.
-type Part struct {
+// WeightedService is a service's part of an entry's requests.
+type WeightedService struct {
 	Service *Service
 	Weight  int
 
@@ -33,15 +33,15 @@
 // next picks the part whose turn it is. Each part gets its share over any short span, which chance would not give: of
 // 100 requests, a part of 10 in 100 would get fewer than 5 or more than 15 once in ten spans.
 func (entry *Entry) next() *Service {
-	if len(entry.Parts) == 1 {
-		return entry.Parts[0].Service
+	if len(entry.Services) == 1 {
+		return entry.Services[0].Service
 	}
 	entry.mutex.Lock()
 	defer entry.mutex.Unlock()
 	total := 0
-	best := &entry.Parts[0]
-	for index := range entry.Parts {
-		part := &entry.Parts[index]
+	best := &entry.Services[0]
+	for index := range entry.Services {
+		part := &entry.Services[index]
 		part.credit += part.Weight
 		total += part.Weight
 		if part.credit > best.credit {
@@ -70,8 +70,8 @@
 func (table *Table) routeByEntry(host, path string) (Route, error) {
 	for _, entry := range table.entries[hostName(host)] {
 		if strings.HasPrefix(path, entry.Prefix) {
-			if len(entry.Parts) == 0 {
-				return Route{}, ErrNotUnderstood
+			if len(entry.Services) == 0 {
+				return Route{}, ErrUnresolvedRoute
 			}
 			return Route{Service: entry.next(), Class: entry.Class, Public: entry.Public}, nil
 		}
--- a/internal/routing/entry_test.go
+++ b/internal/routing/entry_test.go
@@ -27,7 +27,7 @@
 			total := 0
 			for number, weight := range testCase.weights {
 				total += weight
-				entry.Parts = append(entry.Parts, Part{Service: &Service{Name: settings.ServiceName(rune('a' + number))}, Weight: weight})
+				entry.Services = append(entry.Services, WeightedService{Service: &Service{Name: settings.ServiceName(rune('a' + number))}, Weight: weight})
 			}
 			table := NewTable(Options{Entries: []*Entry{entry}, Registry: metrics.NewRegistry()})
 			counts := map[*Service]int{}
@@ -36,8 +36,8 @@
 				require.NoError(t, err)
 				counts[route.Service]++
 			}
-			for index := range entry.Parts {
-				part := &entry.Parts[index]
+			for index := range entry.Services {
+				part := &entry.Services[index]
 				require.InDelta(t, 100*float64(part.Weight)/float64(total), counts[part.Service], 1)
 			}
 		})
@@ -47,7 +47,7 @@
 // The longest prefix that begins a path wins, whatever the order of routes; what no route begins is nobody's.
 func TestLongestPrefixWins(t *testing.T) {
 	entry := func(prefix string) *Entry {
-		return &Entry{Host: "h", Prefix: prefix, Class: &Class{Name: settings.ClassName(prefix)}, Parts: []Part{{Service: &Service{}, Weight: 1}}}
+		return &Entry{Host: "h", Prefix: prefix, Class: &Class{Name: settings.ClassName(prefix)}, Services: []WeightedService{{Service: &Service{}, Weight: 1}}}
 	}
 	table := NewTable(Options{Entries: []*Entry{entry("/a/"), entry("/a/b/"), entry("/")}, Registry: metrics.NewRegistry()})
 	for path, want := range map[string]string{"/a/b/c": "/a/b/", "/a/bc": "/a/", "/x": "/"} {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -20,8 +20,8 @@
 var (
 	// ErrNoService says that no service claims the host and path.
 	ErrNoService = errors.New("no service claims this host and path")
-	// ErrNotUnderstood says that a route claims the host and path, but not understandably for whom.
-	ErrNotUnderstood = errors.New("it is not known to which service the route's requests belong")
+	// ErrUnresolvedRoute says that a route claims the host and path, but not understandably for whom.
+	ErrUnresolvedRoute = errors.New("it is not known to which service the route's requests belong")
 	// ErrNoClass says that the service has no class for the method and path.
 	ErrNoClass = errors.New("the service has no class for this method and path")
 )
@@ -63,8 +63,8 @@
 	return entry.Settings.Queue.RetryAfter
 }
 
-// Aim returns the moment until which an answer is worth most to a caller that has the given time left.
-func (entry *Service) Aim(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
+// SoftDeadline returns the moment until which an answer is worth most to a caller that has the given time left.
+func (entry *Service) SoftDeadline(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
 	if entry.Scheduler != nil {
 		return entry.Scheduler.Aim(class, now, aim, left)
 	}
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -17,7 +17,7 @@
 	offer := Offer{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
 	scheduler.SetOffers([]Offer{offer})
 	scheduler.Observe("one", Reading{At: manual.Now(), Slots: 2, Slowdown: 1, ColdKnown: true})
-	place, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	place, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	offer.Address = "10.0.0.2:80"
 	scheduler.SetOffers([]Offer{offer})
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -45,7 +45,7 @@
 // newWaiter ranks a request.
 func (scheduler *Scheduler) newWaiter(now clock.Moment, demand PermitRequest) rankedWaiter {
 	expected := scheduler.expect(demand.Class)
-	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerDistance - expected.work)}
+	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.SoftDeadline.Add(-CallerDistance - expected.work)}
 	waiter.until = now.Add(lateWaitMost * demand.Deadline.Since(now))
 	waiter.rank = rankOf(demand, now > waiter.latest)
 	return waiter
--- a/internal/service/cadence_test.go
+++ b/internal/service/cadence_test.go
@@ -103,7 +103,7 @@
 	for range 100 {
 		manual.Advance(20 * clock.Millisecond)
 		scheduler.Observe("own", Reading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
-		if place, found := scheduler.TryTake(PermitRequest{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
+		if place, found := scheduler.TryTake(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second)}); found {
 			require.EqualValues(t, "own", place.Target.Name)
 			taken++
 			place.Release(Cancelled)
@@ -140,7 +140,7 @@
 	manual.Advance(clock.Second)
 	scheduler.Observe("cold", Reading{At: manual.Now(), Slots: 2, Slowdown: 2, SteadyFor: 299, Period: 300, ColdKnown: true, ColdFor: 2 * clock.Second})
 	scheduler.Observe("slow", Reading{At: manual.Now(), Slots: 2, Slowdown: 5, SteadyFor: 290, Period: 300, ColdKnown: true})
-	place, err := scheduler.Take(t.Context(), PermitRequest{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	place, err := scheduler.Take(t.Context(), PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	require.EqualValues(t, "cold", place.Target.Name)
 }
@@ -172,7 +172,7 @@
 			}
 			scheduler.candidates["a"].cadence.settled = settledFrom
 			for range testCase.taken {
-				_, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+				_, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 				require.NoError(t, err)
 			}
 			require.InDelta(t, float64(testCase.looksIn), float64(scheduler.NextProbe("a", 30, 45)), 0.01)
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -27,7 +27,7 @@
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
 			demand := func() PermitRequest {
-				return PermitRequest{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
+				return PermitRequest{Class: "one", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
 			}
 			home := Offer{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
 			scheduler.SetOffers([]Offer{home})
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -71,8 +71,8 @@
 	PreviousTarget *Target
 	// Class and Aim are used by a Scheduler only: requests of one class take about the same time, and Aim is the moment
 	// until which an answer is worth most.
-	Class settings.ClassName
-	Aim   clock.Moment
+	Class        settings.ClassName
+	SoftDeadline clock.Moment
 }
 
 // Permit is the right to have one request in flight on a target. Release gives it back.
--- a/internal/service/patience_test.go
+++ b/internal/service/patience_test.go
@@ -79,7 +79,7 @@
 			}
 			scheduler.Observe("one", reading(testCase.slowdown, 60))
 			now := manual.Now()
-			demand := PermitRequest{Class: "look", Aim: now.Add(300), Deadline: now.Add(testCase.deadline), Priority: settings.LowestPriority}
+			demand := PermitRequest{Class: "look", SoftDeadline: now.Add(300), Deadline: now.Add(testCase.deadline), Priority: settings.LowestPriority}
 			_, ticket, err := scheduler.AcquireOrEnqueue(demand)
 			require.Equal(t, testCase.refused, err != nil)
 			require.Equal(t, testCase.waits, ticket != nil)
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -78,7 +78,7 @@
 
 func (fleet *benchFleet) demand() PermitRequest {
 	now := fleet.moment()
-	return PermitRequest{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
+	return PermitRequest{Class: "look", Priority: 1, SoftDeadline: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
 
 // fill takes the given part of what fits.
--- a/internal/service/silent_test.go
+++ b/internal/service/silent_test.go
@@ -50,7 +50,7 @@
 func fill(t *testing.T, scheduler *Scheduler) int {
 	now := scheduler.clock.Now()
 	for taken := range 100 {
-		_, ticket, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", Aim: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
+		_, ticket, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
 		if ticket != nil || err != nil {
 			return taken
 		}
--- a/internal/service/upheaval_test.go
+++ b/internal/service/upheaval_test.go
@@ -74,9 +74,9 @@
 func (upheaval *upheaval) demand() PermitRequest {
 	now := upheaval.clock.Now()
 	demand := PermitRequest{
-		Priority: settings.Priority(upheaval.random.IntN(int(settings.LowestPriority) + 1)),
-		Class:    settings.ClassName([]string{"look", "claim"}[upheaval.random.IntN(2)]),
-		Aim:      now.Add(clock.Milliseconds(upheaval.random.IntN(600))), Deadline: now.Add(1500),
+		Priority:     settings.Priority(upheaval.random.IntN(int(settings.LowestPriority) + 1)),
+		Class:        settings.ClassName([]string{"look", "claim"}[upheaval.random.IntN(2)]),
+		SoftDeadline: now.Add(clock.Milliseconds(upheaval.random.IntN(600))), Deadline: now.Add(1500),
 	}
 	if upheaval.chance(0.2) {
 		demand.PreviousTarget = upheaval.scheduler.ordered[upheaval.random.IntN(len(upheaval.scheduler.ordered))].Target
--- a/internal/team/team.go
+++ b/internal/team/team.go
@@ -74,15 +74,15 @@
 	return found, known
 }
 
-// KeyStanding tells what the set of API keys is worth that an instance has.
-type KeyStanding int32
+// KeySetStatus tells what the set of API keys is worth that an instance has.
+type KeySetStatus int32
 
 // The standings of a set of keys.
 const (
 	// KeysCurrent says that a key that is not in the set is in no configuration.
-	KeysCurrent KeyStanding = iota
-	// KeysUnsure says that there may be a newer configuration.
-	KeysUnsure
+	KeysCurrent KeySetStatus = iota
+	// KeysUnverified says that there may be a newer configuration.
+	KeysUnverified
 	// KeysStale says that keys may have been revoked so long ago that none may be used.
 	KeysStale
 )
