--- a/internal/service/baseline.go
+++ b/internal/service/baseline.go
@@ -26,8 +26,8 @@
 // Policies lists every policy.
 var Policies = []Policy{PolicyLeastUtilized, PolicyDoubleShare, PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyTwoChoicesOwn}
 
-// evenShares is how many even shares of a warm target's slots a serving instance may take.
-func (policy Policy) evenShares() int {
+// shareFactor is how many even shares of a warm target's slots a serving instance may take.
+func (policy Policy) shareFactor() int {
 	if policy == PolicyDoubleShare {
 		return 2
 	}
@@ -45,9 +45,9 @@
 		if demand.PreviousTarget == nil {
 			return dispatcher.index.least(dispatcher.random, nil)
 		}
-		return dispatcher.index.least(dispatcher.random, &demand.PreviousTarget.listing)
+		return dispatcher.index.least(dispatcher.random, &demand.PreviousTarget.bucketEntry)
 	}
-	open := dispatcher.openTargets(demand.PreviousTarget)
+	open := dispatcher.availableBaselineTargets(demand.PreviousTarget)
 	if len(open) == 0 {
 		return nil
 	}
@@ -55,33 +55,33 @@
 	second := open[dispatcher.random.IntN(len(open))]
 	switch dispatcher.policy {
 	case PolicyRoundRobin:
-		dispatcher.turn++
-		return open[dispatcher.turn%len(open)]
+		dispatcher.roundRobinIndex++
+		return open[dispatcher.roundRobinIndex%len(open)]
 	case PolicyTwoChoices:
-		return lesser(first, second, first.reported, second.reported)
+		return lessLoaded(first, second, first.reportedLoad, second.reportedLoad)
 	case PolicyTwoChoicesOwn:
-		return lesser(first, second, first.own, second.own)
+		return lessLoaded(first, second, first.ownInFlight, second.ownInFlight)
 	case PolicyRandom, PolicyLeastUtilized, PolicyDoubleShare:
 	}
 	return first
 }
 
-func lesser(first, second *Target, firstLoad, secondLoad int) *Target {
+func lessLoaded(first, second *Target, firstLoad, secondLoad int) *Target {
 	if secondLoad < firstLoad {
 		return second
 	}
 	return first
 }
 
-// openTargets lists the targets that a baseline may use: any that are warm and have a connection left.
-func (dispatcher *Dispatcher) openTargets(tried *Target) []*Target {
-	open := dispatcher.open[:0]
+// availableBaselineTargets lists the targets that a baseline may use: any that are warm and have a connection left.
+func (dispatcher *Dispatcher) availableBaselineTargets(tried *Target) []*Target {
+	open := dispatcher.availableBuffer[:0]
 	for _, target := range dispatcher.ordered {
-		if target.limit > 0 && target.own < target.ownMost && target != tried {
+		if target.limit > 0 && target.ownInFlight < target.maxOwnInFlight && target != tried {
 			open = append(open, target)
 		}
 	}
-	dispatcher.open = open
+	dispatcher.availableBuffer = open
 	return open
 }
 
@@ -90,6 +90,6 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	if target, known := dispatcher.targets[name]; known {
-		target.reported = load
+		target.reportedLoad = load
 	}
 }
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -250,7 +250,7 @@
 	if !candidate.offer.Usable || candidate.down {
 		return false
 	}
-	if !despiteFailures && candidate.inARow >= failuresUntilTrickle || candidate.stale(now) {
+	if !despiteFailures && candidate.inARow >= failuresUntilThrottled || candidate.stale(now) {
 		// Nothing is known of it, or nothing good; one request at a time does no harm and tells more.
 		room = 1
 	}
@@ -267,7 +267,7 @@
 func (candidate *candidate) fail(now clock.Moment) {
 	candidate.failRate += failureWeight * (1 - candidate.failRate)
 	candidate.inARow++
-	doublings := min(candidate.inARow-1, mostDoublings)
+	doublings := min(candidate.inARow-1, maxPenaltyDoublings)
 	candidate.avoidUntil = now.Add(firstAvoidance * clock.Milliseconds(int(1)<<doublings))
 }
 
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -62,12 +62,12 @@
 
 // choose picks the target for a request, or nil when none is open or when it is better off waiting for a fast one.
 func (scheduler *Scheduler) choose(now clock.Moment, waiter *rankedWaiter) *candidate {
-	chosen, finish := scheduler.best(now, waiter.expected, waiter.demand.PreviousTarget, false)
+	chosen, finish := scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, false)
 	if chosen == nil {
-		chosen, _ = scheduler.best(now, waiter.expected, waiter.demand.PreviousTarget, true)
+		chosen, _ = scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, true)
 		return chosen
 	}
-	if chosen.slow(now) && scheduler.betterLater(now, waiter, chosen, finish) {
+	if chosen.slow(now) && scheduler.shouldWaitForFast(now, waiter, chosen, finish) {
 		return nil
 	}
 	return chosen
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -18,8 +18,8 @@
 )
 
 // levelTimes is how many times longer than usual requests take at least on targets of each level.
-var levelTimes = func() [levels]clock.Milliseconds {
-	var times [levels]clock.Milliseconds
+var levelTimes = func() [bucketCount]clock.Milliseconds {
+	var times [bucketCount]clock.Milliseconds
 	for level := range times {
 		times[level] = clock.Milliseconds(math.Exp2(float64(level) / levelsPerDoubling))
 	}
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -25,11 +25,11 @@
 	ErrDeadline = errors.New("deadline passed before a place was free")
 )
 
-// failuresUntilTrickle is the number of failures in a row after which a target is tried by one request at a time.
-const failuresUntilTrickle = 3
+// failuresUntilThrottled is the number of failures in a row after which a target is tried by one request at a time.
+const failuresUntilThrottled = 3
 
-// mostDoublings bounds how often the penalty for a failure doubles: 2^5 times 100 ms is 3.2 s.
-const mostDoublings = 5
+// maxPenaltyDoublings bounds how often the penalty for a failure doubles: 2^5 times 100 ms is 3.2 s.
+const maxPenaltyDoublings = 5
 
 // Result is how a request on a place ended.
 type Result int
@@ -85,51 +85,51 @@
 	InFlight int
 	// Considered is the number of targets among which it was chosen.
 	Considered int
-	// since is when it was taken.
-	since clock.Moment
+	// acquiredAt is when it was taken.
+	acquiredAt clock.Moment
 	// TransferredBytes is the length of the request and its answer in bytes, set before Release.
 	TransferredBytes int
 	// LoadReading is what was known of the target when it was chosen.
 	LoadReading Reading
 
 	// scheduler and candidate stand in place of dispatcher on a place that a Scheduler gave.
-	scheduler *Scheduler
-	candidate *candidate
-	expected  *expectation
-	fast      bool
-	// flight is what the request sees of its target while it is under way.
-	flight *flight
-	// tried is set when the request is one more than the target was thought to do well with.
-	tried *slotClass
+	scheduler   *Scheduler
+	candidate   *candidate
+	classStats  *expectation
+	startedFast bool
+	// activeRequest is what the request sees of its target while it is under way.
+	activeRequest *flight
+	// trialClass is set when the request is one more than the target was thought to do well with.
+	trialClass *slotClass
 }
 
 // Dispatcher gives out the places of one service at one instance. It is safe for concurrent use.
 type Dispatcher struct {
 	clock *clock.Clock
 
-	mutex     sync.Mutex
-	random    *rand.Rand
-	limits    Limits
-	targets   map[settings.TargetName]*Target
-	index     levelIndex[Target]
-	live      int
-	listed    int
-	waiting   waitQueue
-	penalties []penalty
-	capacity  int
-	held      int
-	own       int
-	// meanHold is how long a place is taken, on a moving average.
-	meanHold clock.Milliseconds
-	// shares are the parts of all places that each priority has been given, on a moving average.
-	shares  [settings.LowestPriority + 1]float64
-	failing int
-	policy  Policy
+	mutex            sync.Mutex
+	random           *rand.Rand
+	limits           Limits
+	targets          map[settings.TargetName]*Target
+	index            levelIndex[Target]
+	liveTargets      int
+	availableTargets int
+	waiting          waitQueue
+	penalties        []penalty
+	totalLimit       int
+	penaltyPermits   int
+	ownInFlight      int
+	// meanPermitDuration is how long a place is taken, on a moving average.
+	meanPermitDuration clock.Milliseconds
+	// priorityShares are the parts of all places that each priority has been given, on a moving average.
+	priorityShares [settings.LowestPriority + 1]float64
+	failingTargets int
+	policy         Policy
 
 	// ordered, open and turn serve the baselines.
-	ordered []*Target
-	open    []*Target
-	turn    int
+	ordered         []*Target
+	availableBuffer []*Target
+	roundRobinIndex int
 }
 
 // NewDispatcher returns a Dispatcher without targets.
@@ -158,26 +158,26 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	if target, known := dispatcher.targets[name]; known {
-		dispatcher.revive(target, address, dataCentre)
+		dispatcher.restore(target, address, dataCentre)
 		return
 	}
 	added := &Target{Name: name, Address: address, DataCentre: dataCentre}
-	added.listing = levelEntry[Target]{item: added, level: unlisted}
+	added.bucketEntry = levelEntry[Target]{item: added, level: notIndexed}
 	dispatcher.targets[name] = added
 	dispatcher.ordered = append(dispatcher.ordered, added)
-	dispatcher.live++
+	dispatcher.liveTargets++
 }
 
-// revive takes back a target that was removed while requests were still in flight on it. Keeping the same record keeps
+// restore takes back a target that was removed while requests were still in flight on it. Keeping the same record keeps
 // their count: a fresh one would start at zero, and a server that is cold again would be given more than it bears.
-func (dispatcher *Dispatcher) revive(target *Target, address string, dataCentre settings.DataCentreName) {
+func (dispatcher *Dispatcher) restore(target *Target, address string, dataCentre settings.DataCentreName) {
 	if !target.removed {
 		return
 	}
 	target.removed = false
 	target.Address = address
 	target.DataCentre = dataCentre
-	dispatcher.live++
+	dispatcher.liveTargets++
 }
 
 // Remove forgets a target. Requests in flight on it go on; no new one is given to it.
@@ -188,19 +188,19 @@
 	if !known || target.removed {
 		return
 	}
-	dispatcher.countFailing(target, 0)
+	dispatcher.setConsecutiveFailures(target, 0)
 	dispatcher.changeLimit(target, TargetLimit{})
 	target.removed = true
-	dispatcher.live--
-	dispatcher.forget(target)
-	if dispatcher.live == 0 {
+	dispatcher.liveTargets--
+	dispatcher.deleteIfUnused(target)
+	if dispatcher.liveTargets == 0 {
 		dispatcher.refuseAll(ErrNoTarget)
 	}
 }
 
-// forget drops a removed target once nothing is in flight on it.
-func (dispatcher *Dispatcher) forget(target *Target) {
-	if target.removed && target.own+target.held == 0 {
+// deleteIfUnused drops a removed target once nothing is in flight on it.
+func (dispatcher *Dispatcher) deleteIfUnused(target *Target) {
+	if target.removed && target.ownInFlight+target.penaltyPermits == 0 {
 		delete(dispatcher.targets, target.Name)
 		dispatcher.ordered = slices.DeleteFunc(dispatcher.ordered, func(other *Target) bool { return other == target })
 	}
@@ -215,49 +215,49 @@
 	if !known || target.removed {
 		return
 	}
-	target.others = others
+	target.othersInFlight = others
 	dispatcher.changeLimit(target, limit)
 	dispatcher.serveWaiting()
 }
 
 func (dispatcher *Dispatcher) changeLimit(target *Target, limit TargetLimit) {
-	dispatcher.capacity += limit.Limit - target.limit
+	dispatcher.totalLimit += limit.Limit - target.limit
 	target.limit = limit.Limit
-	target.shareLeast = limit.MinShare
-	target.ownMost = limit.MaxOwnInFlight
-	dispatcher.relist(target)
+	target.minShare = limit.MinShare
+	target.maxOwnInFlight = limit.MaxOwnInFlight
+	dispatcher.reindex(target)
 }
 
-// relist puts target on the list where it now belongs.
-func (dispatcher *Dispatcher) relist(target *Target) {
-	level := target.computeLevel(dispatcher.tricklesTo(target))
-	if (level == unlisted) != (target.listing.level == unlisted) {
-		if level == unlisted {
-			dispatcher.listed--
+// reindex puts target on the list where it now belongs.
+func (dispatcher *Dispatcher) reindex(target *Target) {
+	level := target.computeBucket(dispatcher.throttled(target))
+	if (level == notIndexed) != (target.bucketEntry.level == notIndexed) {
+		if level == notIndexed {
+			dispatcher.availableTargets--
 		} else {
-			dispatcher.listed++
+			dispatcher.availableTargets++
 		}
 	}
-	dispatcher.index.move(&target.listing, level)
+	dispatcher.index.move(&target.bucketEntry, level)
 }
 
-// tricklesTo reports whether target has failed so often that it is only tried by one request at a time. When more than
+// throttled reports whether target has failed so often that it is only tried by one request at a time. When more than
 // half of all targets fail, none is treated so: the cause then is most likely not the single target, and taking so
 // many away would topple the rest.
-func (dispatcher *Dispatcher) tricklesTo(target *Target) bool {
-	return target.failures >= failuresUntilTrickle && 2*dispatcher.failing <= dispatcher.live
+func (dispatcher *Dispatcher) throttled(target *Target) bool {
+	return target.consecutiveFailures >= failuresUntilThrottled && 2*dispatcher.failingTargets <= dispatcher.liveTargets
 }
 
 // Acquire waits for a place. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
 func (dispatcher *Dispatcher) Acquire(ctx context.Context, demand PermitRequest) (Permit, error) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
-	if dispatcher.live == 0 {
+	if dispatcher.liveTargets == 0 {
 		dispatcher.mutex.Unlock()
 		return Permit{}, ErrNoTarget
 	}
-	if dispatcher.waiting.length == 0 || demand.Priority < dispatcher.waiting.next().demand.Priority {
-		if place, found := dispatcher.takeNow(now, demand); found {
+	if dispatcher.waiting.length == 0 || demand.Priority < dispatcher.waiting.next().request.Priority {
+		if place, found := dispatcher.tryAcquire(now, demand); found {
 			dispatcher.mutex.Unlock()
 			return place, nil
 		}
@@ -270,82 +270,82 @@
 	return dispatcher.wait(ctx, waiter)
 }
 
-// takeNow takes a place if one is free.
-func (dispatcher *Dispatcher) takeNow(now clock.Moment, demand PermitRequest) (Permit, bool) {
-	listed := dispatcher.listed
+// tryAcquire takes a place if one is free.
+func (dispatcher *Dispatcher) tryAcquire(now clock.Moment, demand PermitRequest) (Permit, bool) {
+	listed := dispatcher.availableTargets
 	target := dispatcher.choose(demand)
 	if target == nil {
 		return Permit{}, false
 	}
-	target.own++
-	dispatcher.own++
-	dispatcher.countShare(demand.Priority)
-	dispatcher.relist(target)
-	return Permit{Target: target, dispatcher: dispatcher, InFlight: target.taken(), Considered: listed, since: now}, true
+	target.ownInFlight++
+	dispatcher.ownInFlight++
+	dispatcher.recordGrant(demand.Priority)
+	dispatcher.reindex(target)
+	return Permit{Target: target, dispatcher: dispatcher, InFlight: target.inFlight(), Considered: listed, acquiredAt: now}, true
 }
 
 // enqueue makes a request wait. One whose turn would not come in time is refused at once: it would wait for nothing, and
 // its caller could have gone elsewhere. When the queue is full, a less urgent request is refused in its favour.
 func (dispatcher *Dispatcher) enqueue(now clock.Moment, demand PermitRequest) (*waiter, error) {
-	if dispatcher.expectedWait(demand.Priority) > admittedShare*min(dispatcher.limits.QueueWait, demand.Deadline.Since(now)) {
+	if dispatcher.expectedWait(demand.Priority) > maxExpectedWaitShare*min(dispatcher.limits.QueueWait, demand.Deadline.Since(now)) {
 		return nil, ErrQueueFull
 	}
 	if dispatcher.waiting.length >= dispatcher.limits.QueueLength {
-		victim := dispatcher.waiting.lowerThan(demand.Priority)
+		victim := dispatcher.waiting.evictionCandidate(demand.Priority)
 		if victim == nil {
 			return nil, ErrQueueFull
 		}
 		dispatcher.waiting.remove(victim)
 		victim.done <- grant{err: ErrQueueFull}
 	}
-	newcomer := &waiter{demand: demand, since: now, longest: dispatcher.limits.QueueWait, done: make(chan grant, 1)}
+	newcomer := &waiter{request: demand, enqueuedAt: now, maxWait: dispatcher.limits.QueueWait, done: make(chan grant, 1)}
 	dispatcher.waiting.push(newcomer)
 	return newcomer, nil
 }
 
-// admittedShare is the part of a request's longest wait that its expected wait may take up: expectations are off by
+// maxExpectedWaitShare is the part of a request's longest wait that its expected wait may take up: expectations are off by
 // some, and those that were let in should be served.
-const admittedShare = 0.7
+const maxExpectedWaitShare = 0.7
 
 // averageWeight is the weight of one request in moving averages.
 const averageWeight = 0.02
 
-// leastShare bounds how small a part of the places is taken to be left for a priority.
-const leastShare = 0.02
+// minRemainingShare bounds how small a part of the places is taken to be left for a priority.
+const minRemainingShare = 0.02
 
-func (dispatcher *Dispatcher) countShare(taken settings.Priority) {
-	for priority := range dispatcher.shares {
-		dispatcher.shares[priority] -= averageWeight * dispatcher.shares[priority]
+func (dispatcher *Dispatcher) recordGrant(taken settings.Priority) {
+	for priority := range dispatcher.priorityShares {
+		dispatcher.priorityShares[priority] -= averageWeight * dispatcher.priorityShares[priority]
 	}
-	dispatcher.shares[taken] += averageWeight
+	dispatcher.priorityShares[taken] += averageWeight
 }
 
-// shareLeft is the part of the places that more urgent requests leave to a priority.
-func (dispatcher *Dispatcher) shareLeft(priority settings.Priority) float64 {
+// remainingShare is the part of the places that more urgent requests leave to a priority.
+func (dispatcher *Dispatcher) remainingShare(priority settings.Priority) float64 {
 	left := 1.0
-	for _, share := range dispatcher.shares[:priority] {
+	for _, share := range dispatcher.priorityShares[:priority] {
 		left -= share
 	}
-	return max(left, leastShare)
+	return max(left, minRemainingShare)
 }
 
 // expectedWait is how long a request of the given priority would wait: those before it, at the pace at which places
 // become free for them. By Little's law that pace is the number of places taken by the time each is taken, and more
 // urgent requests, also those that have yet to come, leave only a part of it.
 func (dispatcher *Dispatcher) expectedWait(priority settings.Priority) clock.Milliseconds {
-	if dispatcher.own == 0 {
+	if dispatcher.ownInFlight == 0 {
 		return 0
 	}
 	ahead := dispatcher.waiting.ahead(priority)
-	pace := clock.Milliseconds(float64(dispatcher.own) * dispatcher.shareLeft(priority))
-	return clock.Milliseconds(ahead) * dispatcher.meanHold / pace
+	pace := clock.Milliseconds(float64(dispatcher.ownInFlight) * dispatcher.remainingShare(priority))
+	return clock.Milliseconds(ahead) * dispatcher.meanPermitDuration / pace
 }
 
 // wait blocks until waiter has a place or is refused.
 func (dispatcher *Dispatcher) wait(ctx context.Context, waiter *waiter) (Permit, error) {
-	longest := waiter.longest
+	longest := waiter.maxWait
 	reason := ErrQueueWait
-	if left := waiter.demand.Deadline.Since(waiter.since); left < longest {
+	if left := waiter.request.Deadline.Since(waiter.enqueuedAt); left < longest {
 		longest = left
 		reason = ErrDeadline
 	}
@@ -353,7 +353,7 @@
 	defer timer.Stop()
 	select {
 	case granted := <-waiter.done:
-		return dispatcher.placeOf(waiter, granted)
+		return dispatcher.grantedPermit(waiter, granted)
 	case <-timer.C:
 	case <-ctx.Done():
 		reason = ctx.Err()
@@ -365,27 +365,27 @@
 		return Permit{}, reason
 	}
 	// A place arrived at the same instant; it is used, or else it would stay taken for ever.
-	return dispatcher.placeOf(waiter, <-waiter.done)
+	return dispatcher.grantedPermit(waiter, <-waiter.done)
 }
 
-func (dispatcher *Dispatcher) placeOf(waiter *waiter, granted grant) (Permit, error) {
+func (dispatcher *Dispatcher) grantedPermit(waiter *waiter, granted grant) (Permit, error) {
 	if granted.err != nil {
 		return Permit{}, granted.err
 	}
-	waited := dispatcher.clock.Now().Since(waiter.since)
-	return Permit{Target: granted.target, dispatcher: dispatcher, QueueTime: waited, InFlight: granted.taken, since: granted.since}, nil
+	waited := dispatcher.clock.Now().Since(waiter.enqueuedAt)
+	return Permit{Target: granted.target, dispatcher: dispatcher, QueueTime: waited, InFlight: granted.inFlight, acquiredAt: granted.acquiredAt}, nil
 }
 
 // serveWaiting gives free places to waiting requests.
 func (dispatcher *Dispatcher) serveWaiting() {
 	for dispatcher.waiting.length > 0 {
 		first := dispatcher.waiting.next()
-		place, found := dispatcher.takeNow(dispatcher.clock.Now(), first.demand)
+		place, found := dispatcher.tryAcquire(dispatcher.clock.Now(), first.request)
 		if !found {
 			return
 		}
 		dispatcher.waiting.remove(first)
-		first.done <- grant{target: place.Target, taken: place.InFlight, since: place.since}
+		first.done <- grant{target: place.Target, inFlight: place.InFlight, acquiredAt: place.acquiredAt}
 	}
 }
 
@@ -412,48 +412,48 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	target := place.Target
-	target.own--
-	dispatcher.own--
-	dispatcher.meanHold += averageWeight * (now.Since(place.since) - dispatcher.meanHold)
+	target.ownInFlight--
+	dispatcher.ownInFlight--
+	dispatcher.meanPermitDuration += averageWeight * (now.Since(place.acquiredAt) - dispatcher.meanPermitDuration)
 	switch result {
 	case Succeeded:
-		dispatcher.countFailing(target, 0)
+		dispatcher.setConsecutiveFailures(target, 0)
 	case Failed:
-		dispatcher.punish(target)
+		dispatcher.penalize(target)
 	case Cancelled:
 	}
-	dispatcher.relist(target)
-	dispatcher.forget(target)
+	dispatcher.reindex(target)
+	dispatcher.deleteIfUnused(target)
 	dispatcher.serveWaiting()
 }
 
-// punish counts a failure. A server that fails fast has few requests in flight and would look like the best choice, so
+// penalize counts a failure. A server that fails fast has few requests in flight and would look like the best choice, so
 // it would draw nearly all requests; one notices many errors at a low load. Keeping the place taken for a while makes
 // a failure weigh as much as a slow answer. At most half of all places are kept so at once.
-func (dispatcher *Dispatcher) punish(target *Target) {
-	dispatcher.countFailing(target, target.failures+1)
-	if 2*(dispatcher.held+1) > dispatcher.capacity || target.removed {
+func (dispatcher *Dispatcher) penalize(target *Target) {
+	dispatcher.setConsecutiveFailures(target, target.consecutiveFailures+1)
+	if 2*(dispatcher.penaltyPermits+1) > dispatcher.totalLimit || target.removed {
 		return
 	}
-	doublings := min(target.failures-1, mostDoublings)
+	doublings := min(target.consecutiveFailures-1, maxPenaltyDoublings)
 	length := dispatcher.limits.FailurePenalty * clock.Milliseconds(int(1)<<doublings)
-	target.held++
-	dispatcher.held++
+	target.penaltyPermits++
+	dispatcher.penaltyPermits++
 	dispatcher.penalties = append(dispatcher.penalties, penalty{target: target, until: dispatcher.clock.Now().Add(length)})
 }
 
-// countFailing sets the number of failures in a row, and keeps count of the targets that fail.
-func (dispatcher *Dispatcher) countFailing(target *Target, failures int) {
-	before := target.failures >= failuresUntilTrickle
-	target.failures = failures
-	after := target.failures >= failuresUntilTrickle
+// setConsecutiveFailures sets the number of failures in a row, and keeps count of the targets that fail.
+func (dispatcher *Dispatcher) setConsecutiveFailures(target *Target, failures int) {
+	before := target.consecutiveFailures >= failuresUntilThrottled
+	target.consecutiveFailures = failures
+	after := target.consecutiveFailures >= failuresUntilThrottled
 	if before == after {
 		return
 	}
 	if after {
-		dispatcher.failing++
+		dispatcher.failingTargets++
 	} else {
-		dispatcher.failing--
+		dispatcher.failingTargets--
 	}
 }
 
@@ -468,10 +468,10 @@
 			kept = append(kept, held)
 			continue
 		}
-		held.target.held--
-		dispatcher.held--
-		dispatcher.relist(held.target)
-		dispatcher.forget(held.target)
+		held.target.penaltyPermits--
+		dispatcher.penaltyPermits--
+		dispatcher.reindex(held.target)
+		dispatcher.deleteIfUnused(held.target)
 	}
 	clear(dispatcher.penalties[len(kept):])
 	dispatcher.penalties = kept
@@ -501,7 +501,7 @@
 		}
 		states = append(states, TargetState{
 			Name: target.Name, Address: target.Address, DataCentre: target.DataCentre,
-			OwnInFlight: target.own, PenaltyPermits: target.held, OthersInFlight: target.others, Limit: target.limit, Failures: target.failures,
+			OwnInFlight: target.ownInFlight, PenaltyPermits: target.penaltyPermits, OthersInFlight: target.othersInFlight, Limit: target.limit, Failures: target.consecutiveFailures,
 		})
 	}
 	return states, dispatcher.waiting.length
@@ -512,7 +512,7 @@
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	if target, known := dispatcher.targets[name]; known {
-		return target.own
+		return target.ownInFlight
 	}
 	return 0
 }
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -14,29 +14,29 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// naiveTarget is a target as a balancer without any index would keep it.
-type naiveTarget struct {
-	own, failures int
-	heldUntil     []clock.Moment
-	others        int
-	limit         TargetLimit
-	present       bool
+// referenceTarget is a target as a balancer without any index would keep it.
+type referenceTarget struct {
+	ownInFlight, consecutiveFailures int
+	penaltiesUntil                   []clock.Moment
+	othersInFlight                   int
+	limit                            TargetLimit
+	present                          bool
 }
 
-// naive decides by looking at every target each time. It is slow and plainly right, and the Dispatcher must agree.
-type naive struct {
-	targets map[settings.TargetName]*naiveTarget
+// referenceModel decides by looking at every target each time. It is slow and plainly right, and the Dispatcher must agree.
+type referenceModel struct {
+	targets map[settings.TargetName]*referenceTarget
 }
 
-func (naive *naive) held() int {
+func (naive *referenceModel) penaltyPermits() int {
 	held := 0
 	for _, target := range naive.targets {
-		held += len(target.heldUntil)
+		held += len(target.penaltiesUntil)
 	}
 	return held
 }
 
-func (naive *naive) capacity() int {
+func (naive *referenceModel) totalLimit() int {
 	capacity := 0
 	for _, target := range naive.targets {
 		if target.present {
@@ -46,23 +46,23 @@
 	return capacity
 }
 
-// share returns the share of places taken, or false when the target takes no more.
-func (target *naiveTarget) share() (float64, bool) {
-	mine := target.own + len(target.heldUntil)
+// utilization returns the utilization of places taken, or false when the target takes no more.
+func (target *referenceTarget) utilization() (float64, bool) {
+	mine := target.ownInFlight + len(target.penaltiesUntil)
 	if !target.present || target.limit.Limit == 0 || mine >= target.limit.MaxOwnInFlight {
 		return 0, false
 	}
-	if taken := mine + target.others; taken < target.limit.Limit {
+	if taken := mine + target.othersInFlight; taken < target.limit.Limit {
 		return float64(taken) / float64(target.limit.Limit), true
 	}
 	return 1, mine < target.limit.MinShare
 }
 
-// free returns the smallest share taken among targets that take more.
-func (naive *naive) free() (float64, bool) {
+// minUtilization returns the smallest share taken among targets that take more.
+func (naive *referenceModel) minUtilization() (float64, bool) {
 	least, found := 2.0, false
 	for _, target := range naive.targets {
-		if share, free := target.share(); free {
+		if share, free := target.utilization(); free {
 			least, found = min(least, share), true
 		}
 	}
@@ -72,14 +72,14 @@
 // Whatever happens to targets and requests, in whatever order, the Dispatcher gives a place exactly when the naive
 // version knows a free one, on a target whose share of taken places is the smallest to within one level, and never
 // exceeds a limit that is not to be exceeded.
-func TestDispatcherAgainstNaive(t *testing.T) {
+func TestDispatcherMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manual := clock.NewManual()
 		dispatcher := NewDispatcher(Options{
 			Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 			Limits: Limits{QueueLength: 4, QueueWait: clock.Second, FailurePenalty: 100},
 		})
-		model := &naive{targets: map[settings.TargetName]*naiveTarget{}}
+		model := &referenceModel{targets: map[settings.TargetName]*referenceTarget{}}
 		var places []Permit
 		names := rapid.SampledFrom([]settings.TargetName{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
@@ -87,7 +87,7 @@
 				name := names.Draw(t, "target")
 				dispatcher.Add(name, "127.0.0.1:1", "sofia-1")
 				if model.targets[name] == nil {
-					model.targets[name] = &naiveTarget{}
+					model.targets[name] = &referenceTarget{}
 				}
 				model.targets[name].present = true
 			},
@@ -95,7 +95,7 @@
 				name := names.Draw(t, "target")
 				dispatcher.Remove(name)
 				if target := model.targets[name]; target != nil && target.present {
-					target.present, target.limit, target.others, target.failures = false, TargetLimit{}, 0, 0
+					target.present, target.limit, target.othersInFlight, target.consecutiveFailures = false, TargetLimit{}, 0, 0
 				}
 			},
 			"limit": func(t *rapid.T) {
@@ -105,24 +105,24 @@
 				others := rapid.IntRange(0, 3).Draw(t, "others")
 				dispatcher.SetLimit(name, limit, others)
 				if target := model.targets[name]; target != nil && target.present {
-					target.limit, target.others = limit, others
+					target.limit, target.othersInFlight = limit, others
 				}
 			},
 			"take": func(t *rapid.T) {
 				gone, cancel := context.WithCancel(context.Background())
 				cancel()
-				least, free := model.free()
+				least, free := model.minUtilization()
 				place, err := dispatcher.Acquire(gone, PermitRequest{Deadline: manual.Now().Add(clock.Second)})
 				require.Equal(t, free, err == nil, "%v", err)
 				if err != nil {
 					return
 				}
 				target := model.targets[place.Target.Name]
-				share, takes := target.share()
+				share, takes := target.utilization()
 				require.True(t, takes)
-				require.LessOrEqual(t, share, least+1.0/levels)
-				target.own++
-				require.LessOrEqual(t, target.own, target.limit.MaxOwnInFlight)
+				require.LessOrEqual(t, share, least+1.0/bucketCount)
+				target.ownInFlight++
+				require.LessOrEqual(t, target.ownInFlight, target.limit.MaxOwnInFlight)
 				places = append(places, place)
 			},
 			"release": func(t *rapid.T) {
@@ -134,44 +134,44 @@
 				place := places[index]
 				places = append(places[:index], places[index+1:]...)
 				target := model.targets[place.Target.Name]
-				target.own--
+				target.ownInFlight--
 				// At most two failures in a row, so that no target is set aside; TestFailingTargets is about those.
-				if result == Failed && target.failures >= failuresUntilTrickle-1 {
+				if result == Failed && target.consecutiveFailures >= failuresUntilThrottled-1 {
 					result = Succeeded
 				}
 				switch result {
 				case Succeeded:
-					target.failures = 0
+					target.consecutiveFailures = 0
 				case Failed:
-					target.failures++
-					if 2*(model.held()+1) <= model.capacity() && target.present {
-						until := manual.Now().Add(100 * clock.Milliseconds(int(1)<<(target.failures-1)))
-						target.heldUntil = append(target.heldUntil, until)
+					target.consecutiveFailures++
+					if 2*(model.penaltyPermits()+1) <= model.totalLimit() && target.present {
+						until := manual.Now().Add(100 * clock.Milliseconds(int(1)<<(target.consecutiveFailures-1)))
+						target.penaltiesUntil = append(target.penaltiesUntil, until)
 					}
 				case Cancelled:
 				}
 				place.Release(result)
-				if !target.present && target.own+len(target.heldUntil) == 0 {
-					target.failures = 0
+				if !target.present && target.ownInFlight+len(target.penaltiesUntil) == 0 {
+					target.consecutiveFailures = 0
 				}
 			},
 			"wait": func(t *rapid.T) {
 				manual.Advance(clock.Milliseconds(rapid.IntRange(1, 300).Draw(t, "ms")))
 				dispatcher.ReleaseExpiredPenalties()
 				for _, target := range model.targets {
-					target.heldUntil = later(target.heldUntil, manual.Now())
+					target.penaltiesUntil = unexpired(target.penaltiesUntil, manual.Now())
 				}
 			},
 			"": func(t *rapid.T) {
-				require.Equal(t, model.capacity(), dispatcher.capacity)
-				require.Equal(t, model.held(), dispatcher.held)
+				require.Equal(t, model.totalLimit(), dispatcher.totalLimit)
+				require.Equal(t, model.penaltyPermits(), dispatcher.penaltyPermits)
 				require.Zero(t, dispatcher.waiting.length)
 			},
 		})
 	})
 }
 
-func later(moments []clock.Moment, now clock.Moment) []clock.Moment {
+func unexpired(moments []clock.Moment, now clock.Moment) []clock.Moment {
 	var kept []clock.Moment
 	for _, moment := range moments {
 		if now < moment {
@@ -181,8 +181,8 @@
 	return kept
 }
 
-// fail runs requests one after another, of which those on the first failing targets fail, and returns how many did.
-func fail(t *testing.T, dispatcher *Dispatcher, manual *clock.Manual, requests, failing int) int {
+// runRequests runs requests one after another, of which those on the first failing targets runRequests, and returns how many did.
+func runRequests(t *testing.T, dispatcher *Dispatcher, manual *clock.Manual, requests, failing int) int {
 	failed := 0
 	for range requests {
 		manual.Advance(1)
@@ -217,13 +217,13 @@
 
 // A backend server fails fast. With nothing in flight it looks like the best choice, and without a penalty it would
 // draw its even share or more; callers would see a tenth of all requests fail while good servers idle.
-func TestFastFailingTargetDrawsLittle(t *testing.T) {
+func TestFastFailingTargetGetsFewRequests(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := newTenTargets(manual)
-	failed := fail(t, dispatcher, manual, 10000, 1)
+	failed := runRequests(t, dispatcher, manual, 10000, 1)
 	require.Less(t, failed, 100)
 	require.Positive(t, failed, "it is tried again now and then")
-	require.Zero(t, fail(t, dispatcher, manual, 10000, 0), "it is well again")
+	require.Zero(t, runRequests(t, dispatcher, manual, 10000, 0), "it is well again")
 	states, _ := dispatcher.State()
 	for _, state := range states {
 		require.Zero(t, state.Failures, "%s has been tried and taken back", state.Name)
@@ -235,7 +235,7 @@
 func TestMostTargetsFailing(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := newTenTargets(manual)
-	fail(t, dispatcher, manual, 10000, 9)
+	runRequests(t, dispatcher, manual, 10000, 9)
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	taken := 0
@@ -250,7 +250,7 @@
 
 // While all places are taken, requests wait and are served by urgency; each wait ends by a place, its limit, its
 // deadline or its caller, whichever comes first.
-func TestWaiting(t *testing.T) {
+func TestWaitOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(Options{
 			Clock: clock.New(), Rand: rand.New(rand.NewPCG(1, 1)),
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -93,7 +93,7 @@
 	exhaustive := &exhaustive{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
 	require.Equal(upheaval, exhaustive.anyOpen(), scheduler.anyOpen(now), "any open")
 	taken, room := exhaustive.taken()
-	foundTaken, foundRoom := scheduler.taken(now)
+	foundTaken, foundRoom := scheduler.inFlight(now)
 	require.Equal(upheaval, []int{taken, room}, []int{foundTaken, foundRoom}, "taken and room")
 	demand := upheaval.demand()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
--- a/internal/service/filing.go
+++ b/internal/service/filing.go
@@ -155,7 +155,7 @@
 // list puts the candidate on the list of the phase, or on none.
 func (filing *filing) list(index *phasedIndex, phase int) {
 	if filing.index != nil && (filing.index != index || filing.phase != phase) {
-		filing.index.move(filing.phase, &filing.entry, unlisted)
+		filing.index.move(filing.phase, &filing.entry, notIndexed)
 	}
 	filing.index, filing.phase = index, phase
 	if index != nil {
@@ -227,7 +227,7 @@
 	if times <= 1 {
 		return 0
 	}
-	return min(int(levelsPerDoubling*math.Log2(times)), levels-1)
+	return min(int(levelsPerDoubling*math.Log2(times)), bucketCount-1)
 }
 
 // changesAt is the next moment at which the passing of time may change how the candidate is filed.
@@ -263,7 +263,7 @@
 	case since <= 0:
 		until(now.Add(cadence.until(now)))
 	case since == 1:
-		until(now.Add(readingDue - cadence.since(now)))
+		until(now.Add(loadReadingDelay - cadence.since(now)))
 	}
 	return next
 }
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -84,7 +84,7 @@
 	now := scheduler.clock.Now()
 	if known.cadence.period > 0 {
 		look := known.cadence.nextLook(now)
-		if taken, room := scheduler.taken(now); float64(taken) >= busyFrom*float64(room) {
+		if taken, room := scheduler.inFlight(now); float64(taken) >= busyFrom*float64(room) {
 			look = min(look, busyLook)
 		}
 		return look
@@ -126,20 +126,20 @@
 
 // learn takes the time of a request that started on a fast target as the usual one, but for what others on the target made of it.
 func (scheduler *Scheduler) learn(place Permit, held clock.Milliseconds) {
-	known := place.expected
+	known := place.classStats
 	known.size += learnWeight * (float64(place.TransferredBytes) - known.size)
 	slotClass := place.candidate.slotClass
-	alone := held / slotClass.times(place.flight.first)
-	if !place.fast || known.told >= learntFrom && alone > mostOutlying*known.work {
+	alone := held / slotClass.times(place.activeRequest.first)
+	if !place.startedFast || known.told >= learntFrom && alone > mostOutlying*known.work {
 		// Slowed down on the way; a slow spell says nothing about the usual time. A guess that is far too low is
 		// still raised, slowly.
 		known.work += learnWeight * learnWeight * (alone - known.work)
 		return
 	}
 	// Were both learnt from requests beside many others, each could take the other's part.
-	if known.told >= learntFrom && !slotClass.unhindered(place.flight.peak) {
+	if known.told >= learntFrom && !slotClass.unhindered(place.activeRequest.peak) {
 		scheduler.concurrency.learns = !scheduler.mayFollow(scheduler.clock.Now())
-		slotClass.learn(place.flight, known.work, held)
+		slotClass.learn(place.activeRequest, known.work, held)
 		return
 	}
 	known.told++
@@ -149,12 +149,12 @@
 // learnPace takes the time of a request to tell whether requests keep the pace at which they start. The usual work of a class must be
 // known for it.
 func (scheduler *Scheduler) learnPace(now clock.Moment, place Permit, held clock.Milliseconds, finished bool) {
-	known := place.expected
+	known := place.classStats
 	if known.told < learntFrom {
 		return
 	}
-	work := known.work * place.candidate.slotClass.times(place.flight.first)
-	if told, found := place.candidate.hindsight(place.since, now, work, scheduler.overSpells()); found {
+	work := known.work * place.candidate.slotClass.times(place.activeRequest.first)
+	if told, found := place.candidate.hindsight(place.acquiredAt, now, work, scheduler.overSpells()); found {
 		scheduler.pace.learn(told, work, held, finished)
 	}
 }
--- a/internal/service/levels.go
+++ b/internal/service/levels.go
@@ -26,11 +26,11 @@
 		return
 	}
 	levelIndex.remove(entry)
-	if level == unlisted {
+	if level == notIndexed {
 		return
 	}
 	if levelIndex.lists == nil {
-		levelIndex.lists = make([][]*levelEntry[T], levels)
+		levelIndex.lists = make([][]*levelEntry[T], bucketCount)
 	}
 	entry.level = level
 	entry.position = len(levelIndex.lists[level])
@@ -40,7 +40,7 @@
 
 // remove takes an entry off its list.
 func (levelIndex *levelIndex[T]) remove(entry *levelEntry[T]) {
-	if entry.level == unlisted {
+	if entry.level == notIndexed {
 		return
 	}
 	list := levelIndex.lists[entry.level]
@@ -53,7 +53,7 @@
 	if len(list) == 0 {
 		levelIndex.notEmpty &^= 1 << entry.level
 	}
-	entry.level = unlisted
+	entry.level = notIndexed
 }
 
 // lowest returns the lowest level at which an item is listed, levels when there is none.
@@ -109,7 +109,7 @@
 			return list[(start+1)%len(list)].item
 		}
 	}
-	if tried != nil && tried.level != unlisted {
+	if tried != nil && tried.level != notIndexed {
 		return tried.item
 	}
 	return nil
--- a/internal/service/overload_test.go
+++ b/internal/service/overload_test.go
@@ -15,19 +15,19 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// overload is what became of the requests of one priority.
-type overload struct {
-	sent, served, refusedAtOnce, refusedLate int
-	longest                                  time.Duration
+// priorityOutcomes is what became of the requests of one priority.
+type priorityOutcomes struct {
+	sent, served, refusedImmediately, refusedLate int
+	maxWait                                       time.Duration
 }
 
 // overloadRun sends requests at fixed intervals and counts what becomes of them.
 type overloadRun struct {
-	dispatcher *Dispatcher
-	service    time.Duration
-	mutex      sync.Mutex
-	counted    map[settings.Priority]*overload
-	requests   sync.WaitGroup
+	dispatcher  *Dispatcher
+	serviceTime time.Duration
+	mutex       sync.Mutex
+	outcomes    map[settings.Priority]*priorityOutcomes
+	requests    sync.WaitGroup
 }
 
 // send sends for a length of time; each fourth request is a payment.
@@ -38,39 +38,39 @@
 		if number%4 == 0 {
 			priority = 0
 		}
-		run.requests.Go(func() { run.one(priority) })
+		run.requests.Go(func() { run.request(priority) })
 		time.Sleep(every)
 	}
 }
 
-func (run *overloadRun) one(priority settings.Priority) {
+func (run *overloadRun) request(priority settings.Priority) {
 	begun := time.Now()
 	place, err := run.dispatcher.Acquire(context.Background(), PermitRequest{Priority: priority, Deadline: run.dispatcher.clock.Now().Add(2 * clock.Second)})
 	waited := time.Since(begun)
 	if err == nil {
-		time.Sleep(run.service)
+		time.Sleep(run.serviceTime)
 		place.Release(Succeeded)
 	}
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	counted := run.counted[priority]
+	counted := run.outcomes[priority]
 	counted.sent++
 	switch {
 	case err == nil:
 		counted.served++
-		counted.longest = max(counted.longest, waited)
+		counted.maxWait = max(counted.maxWait, waited)
 	case waited <= 5*time.Millisecond:
-		counted.refusedAtOnce++
+		counted.refusedImmediately++
 	default:
 		counted.refusedLate++
 	}
 }
 
-func (run *overloadRun) take() map[settings.Priority]*overload {
+func (run *overloadRun) resetOutcomes() map[settings.Priority]*priorityOutcomes {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	counted := run.counted
-	run.counted = map[settings.Priority]*overload{0: {}, 2: {}}
+	counted := run.outcomes
+	run.outcomes = map[settings.Priority]*priorityOutcomes{0: {}, 2: {}}
 	return counted
 }
 
@@ -104,7 +104,7 @@
 // refused late, and after the load has fallen the queue would still be served to callers who have gone.
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		run := &overloadRun{service: 10 * time.Millisecond}
+		run := &overloadRun{serviceTime: 10 * time.Millisecond}
 		run.dispatcher = NewDispatcher(Options{
 			Clock: clock.New(), Rand: rand.New(rand.NewPCG(1, 1)),
 			Limits: Limits{QueueLength: 2000, QueueWait: 500, FailurePenalty: 100},
@@ -114,25 +114,25 @@
 			run.dispatcher.Add(name, "127.0.0.1:1", "sofia-1")
 			run.dispatcher.SetLimit(name, TargetLimit{Limit: 2, MinShare: 2, MaxOwnInFlight: 2}, 0)
 		}
-		run.take()
+		run.resetOutcomes()
 		const capacityPerSecond = 2000
 		run.send(2*time.Second, time.Second/1000)
-		run.take()
+		run.resetOutcomes()
 		run.send(3*time.Second, time.Second/(2*capacityPerSecond))
-		during := run.take()
+		during := run.resetOutcomes()
 		payments, browses := during[0], during[2]
 		require.Equal(t, payments.sent, payments.served, "payments go first")
-		require.Less(t, payments.longest, 30*time.Millisecond)
+		require.Less(t, payments.maxWait, 30*time.Millisecond)
 		require.GreaterOrEqual(t, payments.served+browses.served, 3*capacityPerSecond*9/10)
-		require.Greater(t, browses.refusedAtOnce, 100)
+		require.Greater(t, browses.refusedImmediately, 100)
 		require.LessOrEqual(t, browses.refusedLate, browses.sent/100)
 
 		run.send(time.Second, time.Second/1000)
-		run.take()
+		run.resetOutcomes()
 		run.send(time.Second, time.Second/1000)
 		run.requests.Wait()
-		after := run.take()
+		after := run.resetOutcomes()
 		require.Equal(t, after[2].sent, after[2].served)
-		require.Less(t, after[2].longest, 10*time.Millisecond, "a second later nothing is left of it")
+		require.Less(t, after[2].maxWait, 10*time.Millisecond, "a second later nothing is left of it")
 	})
 }
--- a/internal/service/ticket.go
+++ b/internal/service/pendingpermit.go
@@ -22,7 +22,7 @@
 	defer scheduler.mutex.Unlock()
 	scheduler.lastTake = now
 	if scheduler.usable == 0 {
-		return Permit{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: comeBackNoTarget}
+		return Permit{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: retryAfterNoTarget}
 	}
 	waiter := scheduler.newWaiter(now, demand)
 	if scheduler.waiting.ahead(waiter.rank) == 0 {
@@ -42,7 +42,7 @@
 func (ticket *PendingPermit) Poll() (Permit, bool, error) {
 	select {
 	case granted := <-ticket.waiter.done:
-		place, err := ticket.scheduler.granted(&ticket.waiter, granted)
+		place, err := ticket.scheduler.grantedPermit(&ticket.waiter, granted)
 		return place, true, err
 	default:
 		return Permit{}, false, nil
@@ -51,7 +51,7 @@
 
 // WaitDeadline is when the wait is over.
 func (ticket *PendingPermit) WaitDeadline() clock.Moment {
-	return ticket.waiter.until
+	return ticket.waiter.waitDeadline
 }
 
 // Cancel ends the wait. A place that has come meanwhile is returned, or else it would stay taken for ever; otherwise the error is a
@@ -60,10 +60,10 @@
 	scheduler := ticket.scheduler
 	scheduler.mutex.Lock()
 	stillWaiting := scheduler.waiting.remove(&ticket.waiter)
-	comeBack := scheduler.comeBack(scheduler.clock.Now())
+	comeBack := scheduler.retryAfter(scheduler.clock.Now())
 	scheduler.mutex.Unlock()
 	if !stillWaiting {
-		return scheduler.granted(&ticket.waiter, <-ticket.waiter.done)
+		return scheduler.grantedPermit(&ticket.waiter, <-ticket.waiter.done)
 	}
 	return Permit{}, &RefusedError{Cause: ErrQueueWait, ComeBack: comeBack}
 }
@@ -71,12 +71,12 @@
 // wait blocks until there is a place or a refusal.
 func (ticket *PendingPermit) wait(ctx context.Context) (Permit, error) {
 	scheduler, waiter := ticket.scheduler, &ticket.waiter
-	timer := time.NewTimer(waiter.until.Since(scheduler.clock.Now()).Duration())
+	timer := time.NewTimer(waiter.waitDeadline.Since(scheduler.clock.Now()).Duration())
 	defer timer.Stop()
 	var cancelled error
 	select {
 	case granted := <-waiter.done:
-		return scheduler.granted(waiter, granted)
+		return scheduler.grantedPermit(waiter, granted)
 	case <-timer.C:
 	case <-ctx.Done():
 		cancelled = ctx.Err()
@@ -88,11 +88,11 @@
 	return place, err
 }
 
-func (scheduler *Scheduler) granted(waiter *rankedWaiter, granted scheduledGrant) (Permit, error) {
+func (scheduler *Scheduler) grantedPermit(waiter *rankedWaiter, granted scheduledGrant) (Permit, error) {
 	if granted.err != nil {
 		return Permit{}, granted.err
 	}
 	place := granted.place
-	place.QueueTime = place.since.Since(waiter.since)
+	place.QueueTime = place.acquiredAt.Since(waiter.enqueuedAt)
 	return place, nil
 }
--- a/internal/service/placing.go
+++ b/internal/service/placing.go
@@ -7,7 +7,7 @@
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	if scheduler.waiting.length > 0 || !scheduler.mayStartLate(now) {
+	if scheduler.waiting.length > 0 || !scheduler.hasFreePermits(now) {
 		return Permit{}, false
 	}
 	expected := scheduler.expect(demand.Class)
@@ -32,21 +32,21 @@
 	if !found || known.down || known.stale(now) {
 		return true
 	}
-	if known.slowdownIn(place.since) >= slowFrom {
+	if known.slowdownIn(place.acquiredAt) >= slowFrom {
 		return true
 	}
 	return scheduler.mayFollow(now) && known.slowdownAt(now, 1) >= slowFrom
 }
 
 func (scheduler *Scheduler) takeNow(now clock.Moment, waiter *rankedWaiter) (Permit, bool) {
-	if waiter.late() && !scheduler.mayStartLate(now) {
+	if waiter.late() && !scheduler.hasFreePermits(now) {
 		return Permit{}, false
 	}
 	chosen := scheduler.choose(now, waiter)
 	if chosen == nil {
 		return Permit{}, false
 	}
-	return scheduler.bind(now, chosen, waiter.expected, waiter.rank), true
+	return scheduler.bind(now, chosen, waiter.classStats, waiter.rank), true
 }
 
 // bind takes a place on the chosen target.
@@ -71,10 +71,10 @@
 		scheduler.fileTaken(now, chosen)
 	}
 	return Permit{
-		flight: started, tried: tried,
-		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: expected,
-		InFlight: taken, Considered: scheduler.usable, since: now,
-		fast:        !cold && chosen.slowdownAt(now, scheduler.meanSlowdown) < slowFrom,
+		activeRequest: started, trialClass: tried,
+		Target: chosen.Target, scheduler: scheduler, candidate: chosen, classStats: expected,
+		InFlight: taken, Considered: scheduler.usable, acquiredAt: now,
+		startedFast: !cold && chosen.slowdownAt(now, scheduler.meanSlowdown) < slowFrom,
 		LoadReading: chosen.reading,
 	}
 }
@@ -93,14 +93,14 @@
 // release gives a place back and learns from how the request ended.
 func (scheduler *Scheduler) release(place Permit, result Result) {
 	now := scheduler.clock.Now()
-	held := now.Since(place.since)
+	held := now.Since(place.acquiredAt)
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	known := place.candidate.land(place.flight)
+	known := place.candidate.land(place.activeRequest)
 	scheduler.own--
 	scheduler.learnPace(now, place, held, result == Succeeded)
-	if place.tried != nil {
-		place.tried.trials--
+	if place.trialClass != nil {
+		place.trialClass.trials--
 	}
 	scheduler.meanHold += averageWeight * (held - scheduler.meanHold)
 	switch result {
@@ -113,7 +113,7 @@
 	}
 	scheduler.fileEnded(now, place.candidate, result)
 	if known {
-		scheduler.flights = append(scheduler.flights, place.flight)
+		scheduler.flights = append(scheduler.flights, place.activeRequest)
 	}
 	scheduler.serveWaiting(now)
 }
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -13,38 +13,38 @@
 type rank int
 
 const (
-	priorities = rank(settings.LowestPriority + 1)
-	// firstLate is the rank of the most urgent requests that will be late.
-	firstLate = priorities * priorities
-	ranks     = 2 * firstLate
+	priorityCount = rank(settings.LowestPriority + 1)
+	// firstLateRank is the rank of the most urgent requests that will be late.
+	firstLateRank = priorityCount * priorityCount
+	rankCount     = 2 * firstLateRank
 )
 
 // rankOf ranks a request by its team's priority and then by its own.
 func rankOf(demand PermitRequest, late bool) rank {
-	urgency := rank(demand.TeamPriority)*priorities + rank(demand.Priority)
+	urgency := rank(demand.TeamPriority)*priorityCount + rank(demand.Priority)
 	if late {
-		return firstLate + urgency
+		return firstLateRank + urgency
 	}
 	return urgency
 }
 
 // rankedWaiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
 type rankedWaiter struct {
-	demand PermitRequest
-	// expected is what is known of its class.
-	expected *expectation
-	since    clock.Moment
-	until    clock.Moment
-	// latest is when it must start to be in time.
-	latest clock.Moment
-	done   chan scheduledGrant
-	rank   rank
+	request PermitRequest
+	// classStats is what is known of its class.
+	classStats   *expectation
+	enqueuedAt   clock.Moment
+	waitDeadline clock.Moment
+	// startDeadline is when it must start to be in time.
+	startDeadline clock.Moment
+	done          chan scheduledGrant
+	rank          rank
 
 	// queued says that it is in a rankedQueue, where number tells the order in which requests were added.
-	queued           bool
-	number           int
-	previous, behind *rankedWaiter
-	overdue          timer[rankedWaiter]
+	queued         bool
+	sequence       int
+	previous, next *rankedWaiter
+	overdueTimer   timer[rankedWaiter]
 }
 
 type scheduledGrant struct {
@@ -54,7 +54,7 @@
 
 // late reports whether the request is past the moment at which it should have started.
 func (waiter *rankedWaiter) late() bool {
-	return waiter.rank >= firstLate
+	return waiter.rank >= firstLateRank
 }
 
 // rankedList holds the waiting requests of one rank in the order in which they were added.
@@ -65,30 +65,30 @@
 
 // rankedQueue holds waiting requests by rank.
 type rankedQueue struct {
-	length int
-	added  int
-	lists  [ranks]rankedList
-	// overdue holds those that aren't late by the moment from which they are.
-	overdue timerQueue[rankedWaiter]
-	found   []*rankedWaiter
+	length       int
+	lastSequence int
+	lists        [rankCount]rankedList
+	// startDeadlines holds those that aren't late by the moment from which they are.
+	startDeadlines timerQueue[rankedWaiter]
+	overdueBuffer  []*rankedWaiter
 }
 
 func (rankedQueue *rankedQueue) push(waiter *rankedWaiter) {
 	list := &rankedQueue.lists[waiter.rank]
-	waiter.previous, waiter.behind = list.last, nil
+	waiter.previous, waiter.next = list.last, nil
 	if list.last == nil {
 		list.first = waiter
 	} else {
-		list.last.behind = waiter
+		list.last.next = waiter
 	}
 	list.last = waiter
 	list.length++
 	rankedQueue.length++
-	rankedQueue.added++
-	waiter.queued, waiter.number = true, rankedQueue.added
+	rankedQueue.lastSequence++
+	waiter.queued, waiter.sequence = true, rankedQueue.lastSequence
 	if !waiter.late() {
-		waiter.overdue.item = waiter
-		rankedQueue.overdue.set(&waiter.overdue, waiter.latest)
+		waiter.overdueTimer.item = waiter
+		rankedQueue.startDeadlines.set(&waiter.overdueTimer, waiter.startDeadline)
 	}
 }
 
@@ -99,20 +99,20 @@
 	}
 	list := &rankedQueue.lists[waiter.rank]
 	if waiter.previous == nil {
-		list.first = waiter.behind
+		list.first = waiter.next
 	} else {
-		waiter.previous.behind = waiter.behind
+		waiter.previous.next = waiter.next
 	}
-	if waiter.behind == nil {
+	if waiter.next == nil {
 		list.last = waiter.previous
 	} else {
-		waiter.behind.previous = waiter.previous
+		waiter.next.previous = waiter.previous
 	}
-	waiter.previous, waiter.behind = nil, nil
+	waiter.previous, waiter.next = nil, nil
 	waiter.queued = false
 	list.length--
 	rankedQueue.length--
-	rankedQueue.overdue.remove(&waiter.overdue)
+	rankedQueue.startDeadlines.remove(&waiter.overdueTimer)
 	return true
 }
 
@@ -129,7 +129,7 @@
 func (rankedQueue *rankedQueue) each(visit func(*rankedWaiter) bool) {
 	for index := range rankedQueue.lists {
 		for waiter := rankedQueue.lists[index].first; waiter != nil; {
-			behind := waiter.behind
+			behind := waiter.next
 			if !visit(waiter) {
 				return
 			}
@@ -138,17 +138,17 @@
 	}
 }
 
-// overdueAt returns the requests whose moment to start has passed and that aren't ranked as late yet, in their order. They stay
+// unmarkOverdue returns the requests whose moment to start has passed and that aren't ranked as late yet, in their order. They stay
 // in the queue; the slice is used again by the next call.
-func (rankedQueue *rankedQueue) overdueAt(now clock.Moment) []*rankedWaiter {
-	found := rankedQueue.found[:0]
-	for first := rankedQueue.overdue.due(now); first != nil && first.latest < now; first = rankedQueue.overdue.due(now) {
-		rankedQueue.overdue.remove(&first.overdue)
+func (rankedQueue *rankedQueue) unmarkOverdue(now clock.Moment) []*rankedWaiter {
+	found := rankedQueue.overdueBuffer[:0]
+	for first := rankedQueue.startDeadlines.due(now); first != nil && first.startDeadline < now; first = rankedQueue.startDeadlines.due(now) {
+		rankedQueue.startDeadlines.remove(&first.overdueTimer)
 		found = append(found, first)
 	}
 	slices.SortFunc(found, func(left, right *rankedWaiter) int {
-		return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.number, right.number))
+		return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.sequence, right.sequence))
 	})
-	rankedQueue.found = found
+	rankedQueue.overdueBuffer = found
 	return found
 }
--- a/internal/service/budget.go
+++ b/internal/service/retrybudget.go
@@ -2,26 +2,26 @@
 
 import "sync/atomic"
 
-// budgetUnit is one request in the budget's count, which works in thousandths.
-const budgetUnit = 1000
+// thousandthsPerRetry is one request in the budget's count, which works in thousandths.
+const thousandthsPerRetry = 1000
 
-// budgetMost is how many retries can be saved up, so that a quiet service can still retry its first failures and a
+// maxBudget is how many retries can be saved up, so that a quiet service can still retry its first failures and a
 // busy one can't store enough for a storm.
-const budgetMost = 10 * budgetUnit
+const maxBudget = 10 * thousandthsPerRetry
 
 // RetryBudget lets a share of live requests be sent again. Without it, retries multiply the load exactly when backend
 // servers fail because there is too much of it. It is safe for concurrent use.
 type RetryBudget struct {
 	thousandths atomic.Int64
 	perRequest  atomic.Int64
-	most        atomic.Int64
+	capacity    atomic.Int64
 }
 
 // NewRetryBudget returns a full budget that regains share of a retry with each live request.
 func NewRetryBudget(share float64) *RetryBudget {
 	budget := &RetryBudget{}
-	budget.most.Store(budgetMost)
-	budget.thousandths.Store(budgetMost)
+	budget.capacity.Store(maxBudget)
+	budget.thousandths.Store(maxBudget)
 	budget.SetRetryRatio(share)
 	return budget
 }
@@ -31,24 +31,24 @@
 func NewSharedRetryBudget(share float64, most int) *RetryBudget {
 	budget := &RetryBudget{}
 	budget.SetCapacity(most)
-	budget.thousandths.Store(budgetUnit)
+	budget.thousandths.Store(thousandthsPerRetry)
 	budget.SetRetryRatio(share)
 	return budget
 }
 
 // SetCapacity changes the number of retries that may be saved up.
 func (budget *RetryBudget) SetCapacity(most int) {
-	budget.most.Store(int64(max(most, 1)) * budgetUnit)
+	budget.capacity.Store(int64(max(most, 1)) * thousandthsPerRetry)
 }
 
 // SetRetryRatio changes the share of live requests that may be sent again, from 0 to 1.
 func (budget *RetryBudget) SetRetryRatio(share float64) {
-	budget.perRequest.Store(int64(share * budgetUnit))
+	budget.perRequest.Store(int64(share * thousandthsPerRetry))
 }
 
 // Deposit counts one live request.
 func (budget *RetryBudget) Deposit() {
-	if budget.thousandths.Load() < budget.most.Load() {
+	if budget.thousandths.Load() < budget.capacity.Load() {
 		budget.thousandths.Add(budget.perRequest.Load())
 	}
 }
@@ -57,10 +57,10 @@
 func (budget *RetryBudget) TryWithdraw() bool {
 	for {
 		left := budget.thousandths.Load()
-		if left < budgetUnit {
+		if left < thousandthsPerRetry {
 			return false
 		}
-		if budget.thousandths.CompareAndSwap(left, left-budgetUnit) {
+		if budget.thousandths.CompareAndSwap(left, left-thousandthsPerRetry) {
 			return true
 		}
 	}
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -134,7 +134,7 @@
 			Target: &Target{Name: offer.Name, Address: offer.Address, DataCentre: offer.DataCentre}, tokensAt: now, learningFrom: now,
 			coldShare: &scheduler.coldShare, concurrency: &scheduler.concurrency,
 		}
-		known.filing.entry = levelEntry[candidate]{item: known, level: unlisted}
+		known.filing.entry = levelEntry[candidate]{item: known, level: notIndexed}
 		known.filing.change.item = known
 		scheduler.candidates[offer.Name] = known
 		scheduler.ordered = append(scheduler.ordered, known)
@@ -243,7 +243,7 @@
 	if scheduler.waiting.length == 0 {
 		return
 	}
-	scheduler.demote(now)
+	scheduler.demoteOverdue(now)
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		place, found := scheduler.takeNow(now, waiter)
 		if !found {
@@ -260,7 +260,7 @@
 func (scheduler *Scheduler) refuseAll(reason error) {
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, ComeBack: comeBackNoTarget}}
+		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, ComeBack: retryAfterNoTarget}}
 		return true
 	})
 }
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -144,7 +144,7 @@
 				if ticket != nil || err != nil {
 					b.Fatal("no place")
 				}
-				place.since = place.since.Add(-benchHeld)
+				place.acquiredAt = place.acquiredAt.Add(-benchHeld)
 				place.Release(Succeeded)
 				fleet.pause(b, count)
 			}
@@ -201,7 +201,7 @@
 						b.Error("no place")
 						return
 					}
-					place.since = place.since.Add(-benchHeld)
+					place.acquiredAt = place.acquiredAt.Add(-benchHeld)
 					place.Release(Succeeded)
 				}
 			})
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -5,11 +5,11 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// levels is how finely the share of taken places is told apart; one bit of a word stands for each.
-const levels = 64
+// bucketCount is how finely the share of taken places is told apart; one bit of a word stands for each.
+const bucketCount = 64
 
-// unlisted is the level of a target that can take no further request.
-const unlisted = -1
+// notIndexed is the level of a target that can take no further request.
+const notIndexed = -1
 
 // Target is one backend server as this instance sees it. All fields below its identity are guarded by the
 // Dispatcher's mutex.
@@ -18,29 +18,29 @@
 	Address    string
 	DataCentre settings.DataCentreName
 
-	// own counts the places that requests of this instance have taken.
-	own int
-	// held counts places kept taken for a while after a failure.
-	held int
-	// others counts the places that other instances said they have taken.
-	others int
+	// ownInFlight counts the places that requests of this instance have taken.
+	ownInFlight int
+	// penaltyPermits counts places kept taken for a while after a failure.
+	penaltyPermits int
+	// othersInFlight counts the places that other instances said they have taken.
+	othersInFlight int
 	// limit is the number of places that all instances together should take.
 	limit int
-	// shareLeast is the number of places that this instance may take whatever others said, since what they said is
+	// minShare is the number of places that this instance may take whatever others said, since what they said is
 	// always a little old. It is 0 on a target that is not safe to overrun.
-	shareLeast int
-	// ownMost is the number of places that this instance may never exceed.
-	ownMost int
-	// failures counts failed requests since the last success.
-	failures int
+	minShare int
+	// maxOwnInFlight is the number of places that this instance may never exceed.
+	maxOwnInFlight int
+	// consecutiveFailures counts failed requests since the last success.
+	consecutiveFailures int
 	// removed says that no new request may go to it; the record stays until the last one in flight has ended.
 	removed bool
 
-	// reported is the load that it told of itself, for the baselines that go by it.
-	reported int
+	// reportedLoad is the load that it told of itself, for the baselines that go by it.
+	reportedLoad int
 
-	// listing is where it stands among the targets by the share of places taken.
-	listing levelEntry[Target]
+	// bucketEntry is where it stands among the targets by the share of places taken.
+	bucketEntry levelEntry[Target]
 }
 
 // TargetLimit is what the control goroutine decides about a target.
@@ -53,33 +53,33 @@
 	MaxOwnInFlight int
 }
 
-// taken is the number of places in use as far as this instance knows.
-func (target *Target) taken() int {
-	return target.own + target.held + target.others
+// inFlight is the number of places in use as far as this instance knows.
+func (target *Target) inFlight() int {
+	return target.ownInFlight + target.penaltyPermits + target.othersInFlight
 }
 
-// limitNow returns the limit in force: a target that keeps failing is tried by one request at a time.
-func (target *Target) limitNow(failing bool) int {
+// effectiveLimit returns the limit in force: a target that keeps failing is tried by one request at a time.
+func (target *Target) effectiveLimit(failing bool) int {
 	if failing {
 		return min(target.limit, 1)
 	}
 	return target.limit
 }
 
-// computeLevel returns the level at which target is to be listed.
-func (target *Target) computeLevel(failing bool) int {
-	mine := target.own + target.held
-	limit := target.limitNow(failing)
-	if mine >= target.ownMost || limit == 0 {
-		return unlisted
+// computeBucket returns the level at which target is to be listed.
+func (target *Target) computeBucket(failing bool) int {
+	mine := target.ownInFlight + target.penaltyPermits
+	limit := target.effectiveLimit(failing)
+	if mine >= target.maxOwnInFlight || limit == 0 {
+		return notIndexed
 	}
-	if taken := target.taken(); taken < limit {
-		return taken * levels / limit
+	if taken := target.inFlight(); taken < limit {
+		return taken * bucketCount / limit
 	}
-	if !failing && mine < target.shareLeast {
-		return levels - 1
+	if !failing && mine < target.minShare {
+		return bucketCount - 1
 	}
-	return unlisted
+	return notIndexed
 }
 
 // penalty is a place kept taken until a moment.
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -5,8 +5,8 @@
 // timer is something that is due for an item at a moment.
 type timer[T any] struct {
 	item *T
-	// place is its index in the queue plus one, 0 while it isn't queued.
-	place int
+	// position is its index in the queue plus one, 0 while it isn't queued.
+	position int
 }
 
 // timerQueue is a binary heap of timers, the earliest first.
@@ -19,18 +19,18 @@
 
 // set queues a timer for the given moment, or moves it there.
 func (timerQueue *timerQueue[T]) set(timer *timer[T], at clock.Moment) {
-	if timer.place == 0 {
+	if timer.position == 0 {
 		*timerQueue = append(*timerQueue, timerAt[T]{})
-		timer.place = len(*timerQueue)
-	} else if (*timerQueue)[timer.place-1].at == at {
+		timer.position = len(*timerQueue)
+	} else if (*timerQueue)[timer.position-1].at == at {
 		return
 	}
-	timerQueue.sift(timer.place-1, timerAt[T]{at: at, timer: timer})
+	timerQueue.sift(timer.position-1, timerAt[T]{at: at, timer: timer})
 }
 
 // remove takes a timer out, if it is queued.
 func (timerQueue *timerQueue[T]) remove(timer *timer[T]) {
-	if timer.place == 0 {
+	if timer.position == 0 {
 		return
 	}
 	queue := *timerQueue
@@ -38,9 +38,9 @@
 	queue[len(queue)-1] = timerAt[T]{}
 	*timerQueue = queue[:len(queue)-1]
 	if last.timer != timer {
-		timerQueue.sift(timer.place-1, last)
+		timerQueue.sift(timer.position-1, last)
 	}
-	timer.place = 0
+	timer.position = 0
 }
 
 // due returns the item of the earliest timer if its moment has come, or nil.
@@ -80,5 +80,5 @@
 
 func (timerQueue timerQueue[T]) put(index int, put timerAt[T]) {
 	timerQueue[index] = put
-	put.timer.place = index + 1
+	put.timer.position = index + 1
 }
--- a/internal/service/waiter.go
+++ b/internal/service/waiter.go
@@ -9,19 +9,19 @@
 
 // waiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
 type waiter struct {
-	demand  PermitRequest
-	since   clock.Moment
-	longest clock.Milliseconds
-	done    chan grant
-	element *list.Element
+	request    PermitRequest
+	enqueuedAt clock.Moment
+	maxWait    clock.Milliseconds
+	done       chan grant
+	element    *list.Element
 }
 
 // grant ends a wait: with a target whose place is already taken, or with the reason for which there will be none.
 type grant struct {
-	target *Target
-	taken  int
-	since  clock.Moment
-	err    error
+	target     *Target
+	inFlight   int
+	acquiredAt clock.Moment
+	err        error
 }
 
 // waitQueue holds waiting requests by priority.
@@ -31,7 +31,7 @@
 }
 
 func (waitQueue *waitQueue) push(waiter *waiter) {
-	waiter.element = waitQueue.lists[waiter.demand.Priority].PushBack(waiter)
+	waiter.element = waitQueue.lists[waiter.request.Priority].PushBack(waiter)
 	waitQueue.length++
 }
 
@@ -40,7 +40,7 @@
 	if waiter.element == nil {
 		return false
 	}
-	waitQueue.lists[waiter.demand.Priority].Remove(waiter.element)
+	waitQueue.lists[waiter.request.Priority].Remove(waiter.element)
 	waiter.element = nil
 	waitQueue.length--
 	return true
@@ -68,9 +68,9 @@
 	return ahead
 }
 
-// lowerThan returns the request that is the first to be refused in favour of one with the given priority: the oldest
+// evictionCandidate returns the request that is the first to be refused in favour of one with the given priority: the oldest
 // of the last priority below it. It returns nil when nothing that waits is less urgent.
-func (waitQueue *waitQueue) lowerThan(priority settings.Priority) *waiter {
+func (waitQueue *waitQueue) evictionCandidate(priority settings.Priority) *waiter {
 	for candidate := settings.LowestPriority; candidate > priority; candidate-- {
 		if front := waitQueue.lists[candidate].Front(); front != nil {
 			oldest, _ := front.Value.(*waiter)
--- a/internal/service/patience.go
+++ b/internal/service/waitforfast.go
@@ -7,13 +7,13 @@
 // places would be held by such requests, and under load the service would get half as much done. Where requests follow their
 // target's pace, a slow spell costs no more than what is left of it, and nobody waits. Which of the two holds is learnt.
 
-// readingDue is the time after a possible change of slowness within which a reading of it arrives: the owner's probe, and its word to
+// loadReadingDelay is the time after a possible change of slowness within which a reading of it arrives: the owner's probe, and its word to
 // the other instances.
-const readingDue = 40 * clock.Millisecond
+const loadReadingDelay = 40 * clock.Millisecond
 
 // slow reports whether the target is known to be slow now, or may just have become so and is about to tell.
 func (candidate *candidate) slow(now clock.Moment) bool {
-	return candidate.slowNow(now) || candidate.aboutToTell(now)
+	return candidate.slowNow(now) || candidate.awaitingLoadReading(now)
 }
 
 // slowNow reports whether the target is known to be slow now, for another reason than being cold.
@@ -27,42 +27,42 @@
 	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)
 }
 
-// aboutToTell reports whether the target's slowness may just have changed, so that a reading is under way.
-func (candidate *candidate) aboutToTell(now clock.Moment) bool {
+// awaitingLoadReading reports whether the target's slowness may just have changed, so that a reading is under way.
+func (candidate *candidate) awaitingLoadReading(now clock.Moment) bool {
 	if candidate.cadence.period == 0 || candidate.stale(now) || candidate.cold(now) {
 		return false
 	}
-	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)+1 && candidate.cadence.since(now) < readingDue
+	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)+1 && candidate.cadence.since(now) < loadReadingDelay
 }
 
-// fastIn is how long a slow target takes until it may be fast.
-func (candidate *candidate) fastIn(now clock.Moment) clock.Milliseconds {
+// timeUntilFast is how long a slow target takes until it may be fast.
+func (candidate *candidate) timeUntilFast(now clock.Moment) clock.Milliseconds {
 	switch {
 	case candidate.cadence.period == 0:
 		return spellLength
-	case candidate.aboutToTell(now):
-		return readingDue - candidate.cadence.since(now)
+	case candidate.awaitingLoadReading(now):
+		return loadReadingDelay - candidate.cadence.since(now)
 	default:
 		return candidate.cadence.until(now)
 	}
 }
 
-// waitGain is how many times longer a place must be taken by a request that starts now than by one that waits: a place that is passed
+// minWaitGain is how many times longer a place must be taken by a request that starts now than by one that waits: a place that is passed
 // over does nothing meanwhile, and the target may stay slow.
-const waitGain = 1.5
+const minWaitGain = 1.5
 
-// betterLater reports whether a request that would be finished on a slow target after the given time is to wait for a fast one. One
+// shouldWaitForFast reports whether a request that would be finished on a slow target after the given time is to wait for a fast one. One
 // that can't wait that long starts if it would be finished before its deadline.
-func (scheduler *Scheduler) betterLater(now clock.Moment, waiter *rankedWaiter, slow *candidate, finish clock.Milliseconds) bool {
-	wait := slow.fastIn(now)
-	if now.Add(wait) >= waiter.until {
-		return now.Add(finish) > waiter.demand.Deadline
+func (scheduler *Scheduler) shouldWaitForFast(now clock.Moment, waiter *rankedWaiter, slow *candidate, finish clock.Milliseconds) bool {
+	wait := slow.timeUntilFast(now)
+	if now.Add(wait) >= waiter.waitDeadline {
+		return now.Add(finish) > waiter.request.Deadline
 	}
-	return finish > waitGain*(wait+scheduler.fastFinish(waiter.expected.work))
+	return finish > minWaitGain*(wait+scheduler.fastCompletionTime(waiter.classStats.work))
 }
 
-// fastFinish is how long a request of the given usual length takes that starts when a target has just turned fast.
-func (scheduler *Scheduler) fastFinish(work clock.Milliseconds) clock.Milliseconds {
+// fastCompletionTime is how long a request of the given usual length takes that starts when a target has just turned fast.
+func (scheduler *Scheduler) fastCompletionTime(work clock.Milliseconds) clock.Milliseconds {
 	spell := spellLength
 	if scheduler.period > 0 {
 		spell = scheduler.period
--- a/internal/service/patience_test.go
+++ b/internal/service/waitforfast_test.go
@@ -12,7 +12,7 @@
 
 // Requests that start on a slow server take five times as long, whatever becomes of the server, or only until it has recovered. A
 // forecast by the wrong one of the two sends requests where they are late, or lets them wait for nothing.
-func TestPaceIsLearnt(t *testing.T) {
+func TestPaceIsLearned(t *testing.T) {
 	const work = 100 * clock.Millisecond
 	slow := forecast{kept: 5 * work, followed: 1.5 * work}
 	cases := []struct {
@@ -48,7 +48,7 @@
 // The one server that has room is slow for another 60 of 150 ms. Where requests stay slow that start slow, a caller waits and is
 // answered long before the one who doesn't; where they follow the server's pace, waiting only loses a place. A caller who can't wait
 // that long takes the slow one if it can be answered there, and is refused at once if it can't.
-func TestWaitForCalmServer(t *testing.T) {
+func TestWaitForFastServer(t *testing.T) {
 	cases := []struct {
 		name     string
 		keeping  float64
@@ -98,7 +98,7 @@
 
 // A server's slowness may just have changed, and its probe is under way. A request that starts on the guess is slow in one of four
 // cases; one that waits a moment knows. When no word comes, it is not held any longer.
-func TestWaitForWordOfServer(t *testing.T) {
+func TestWaitForLoadReading(t *testing.T) {
 	manual := clock.NewManual()
 	manual.Advance(clock.Minute)
 	share := 1.0
@@ -106,6 +106,6 @@
 	known.observe(Reading{At: manual.Now(), Slowdown: 1, SteadyFor: 20, Period: 150, ColdKnown: true})
 	require.False(t, known.slow(manual.Now()))
 	require.True(t, known.slow(manual.Now().Add(25)))
-	require.InDelta(t, float64(readingDue-5), float64(known.fastIn(manual.Now().Add(25))), 0.01)
-	require.False(t, known.slow(manual.Now().Add(20+readingDue+1)))
+	require.InDelta(t, float64(loadReadingDelay-5), float64(known.timeUntilFast(manual.Now().Add(25))), 0.01)
+	require.False(t, known.slow(manual.Now().Add(20+loadReadingDelay+1)))
 }
--- a/internal/service/warmup.go
+++ b/internal/service/warmup.go
@@ -28,6 +28,6 @@
 // with twice as many places, half of them would wait in front of it instead of going elsewhere.
 func WarmTargetLimit(policy Policy, slots, serving, ownMost int) TargetLimit {
 	even := (slots + serving - 1) / serving
-	share := min(slots, policy.evenShares()*even, ownMost)
+	share := min(slots, policy.shareFactor()*even, ownMost)
 	return TargetLimit{Limit: share, MinShare: share, MaxOwnInFlight: ownMost}
 }
