--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -4,26 +4,27 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Admission.
+// Bounds of admission and of the Retry-After time of refused requests.
 const (
-	// retryAfterNoTarget is when a caller may return if a service has no target at all: the list of targets lags by about
-	// a second.
+	// retryAfterNoTarget is the Retry-After time of a service without targets. The list of targets is about a second out of date.
 	retryAfterNoTarget = 500 * clock.Millisecond
-	// minRetryAfter keeps refused callers from returning at once, mostComeBack from staying away longer than the fleet
+	// minRetryAfter prevents immediate retries of refused requests. maxRetryAfter limits the delay to the time that the fleet
 	// needs to recover.
 	minRetryAfter = 50 * clock.Millisecond
 	maxRetryAfter = 2 * clock.Second
-	// minRetryAfterServerRefusal is when a caller may return whose request backend servers refused while there is room here: another
-	// one may take it at once, and a caller that counts from its first attempt is in time only if it returns soon.
+	// minRetryAfterServerRefusal is the minimum for a request that backend servers refused while permits are free here. Another
+	// backend server may accept it immediately, and a caller that measures from its first attempt gets a timely answer only by
+	// retrying soon.
 	minRetryAfterServerRefusal = 20 * clock.Millisecond
-	// retryAfterJitter spreads the returns of callers refused at the same moment, as a part of the time.
+	// retryAfterJitter is the maximum random increase of a Retry-After time, as a fraction of it, so that callers refused at the
+	// same moment do not retry at the same moment.
 	retryAfterJitter = 0.5
-	// maxLateWaitShare bounds the wait of a request that will be late: what can't be served soon is refused, while its
-	// caller still has time to come back.
+	// maxLateWaitShare bounds the wait of a request that will miss its soft deadline, as a fraction of the time until its deadline.
+	// A request that cannot be served soon is refused while its caller still has time to retry.
 	maxLateWaitShare = 0.4
 )
 
-// startShares are the parts of all starts that each rank has had, on a moving average.
+// startShares holds each rank's share of all started requests, as a moving average.
 type startShares [rankCount]float64
 
 func (startShares *startShares) count(started rank) {
@@ -33,26 +34,26 @@
 	startShares[started] += averageWeight
 }
 
-// remaining is the part that more urgent requests leave to a rank.
+// remaining returns the share that is left for a rank by more urgent ones, at least minRemainingShare.
 func (startShares *startShares) remaining(rank rank) float64 {
-	left := 1.0
+	remaining := 1.0
 	for _, share := range startShares[:rank] {
-		left -= share
+		remaining -= share
 	}
-	return max(left, minRemainingShare)
+	return max(remaining, minRemainingShare)
 }
 
-// newWaiter ranks a request.
-func (scheduler *Scheduler) newWaiter(now clock.Moment, demand PermitRequest) rankedWaiter {
-	expected := scheduler.expect(demand.Class)
-	waiter := rankedWaiter{request: demand, classStats: expected, enqueuedAt: now, startDeadline: demand.SoftDeadline.Add(-CallerDistance - expected.work)}
-	waiter.waitDeadline = now.Add(maxLateWaitShare * demand.Deadline.Since(now))
-	waiter.rank = rankOf(demand, now > waiter.startDeadline)
+// newWaiter creates the queue element of a request, with its rank and its time limits.
+func (scheduler *Scheduler) newWaiter(now clock.Moment, request PermitRequest) rankedWaiter {
+	classStats := scheduler.expect(request.Class)
+	waiter := rankedWaiter{request: request, classStats: classStats, enqueuedAt: now, startDeadline: request.SoftDeadline.Add(-CallerDistance - classStats.work)}
+	waiter.waitDeadline = now.Add(maxLateWaitShare * request.Deadline.Since(now))
+	waiter.rank = rankOf(request, now > waiter.startDeadline)
 	return waiter
 }
 
-// enqueue makes a request wait. One whose turn would not come in time is refused at once: its caller can come back when
-// there is room, and nothing that could still be served waits behind it.
+// enqueue adds a request to the queue. A request that is not expected to be served in time is refused immediately: its caller
+// can retry when permits are free, and the request does not delay others that can still be served.
 func (scheduler *Scheduler) enqueue(now clock.Moment, waiter *rankedWaiter) error {
 	if !waiter.late() && now.Add(scheduler.expectedWait(now, waiter.rank)) > waiter.startDeadline {
 		waiter.rank = rankOf(waiter.request, true)
@@ -64,10 +65,10 @@
 	return nil
 }
 
-// demoteOverdue ranks anew the requests whose moment to start has passed: what is late must not make others late as well. One
-// that would wait long from now on is refused.
+// demoteOverdue assigns a late rank to the requests whose start deadline has passed, so that a late request does not make others
+// late. A request whose expected wait is then too long is refused.
 func (scheduler *Scheduler) demoteOverdue(now clock.Moment) {
-	for _, waiter := range scheduler.waiting.unmarkOverdue(now) {
+	for _, waiter := range scheduler.waiting.popOverdue(now) {
 		scheduler.waiting.remove(waiter)
 		waiter.rank = rankOf(waiter.request, true)
 		if err := scheduler.enqueue(now, waiter); err != nil {
@@ -76,56 +77,60 @@
 	}
 }
 
-// hasFreePermits reports whether there is room at all, by what is in flight on targets that are closed for another reason as well.
+// hasFreePermits reports whether the concurrency limits of all targets together permit another request. It counts targets that are
+// unavailable for another reason as well.
 func (scheduler *Scheduler) hasFreePermits(now clock.Moment) bool {
-	taken, room := scheduler.inFlight(now)
-	return room > taken
+	inFlight, limit := scheduler.inFlight(now)
+	return limit > inFlight
 }
 
-// inFlight is how much of the room on all targets is inFlight, and how much there is.
+// inFlight returns the number of requests in flight on all targets, counting each target up to its concurrency limit, and the sum
+// of these limits.
 func (scheduler *Scheduler) inFlight(now clock.Moment) (int, int) {
 	scheduler.refresh(now)
-	taken, room := 0, 0
+	inFlight, limit := 0, 0
 	for _, slotClass := range scheduler.concurrency.slotClasses {
-		each := slotClass.roomNow()
+		targetLimit := slotClass.roomNow()
 		for count, targets := range slotClass.targets {
-			room += targets * each
-			taken += targets * min(count, each)
+			limit += targets * targetLimit
+			inFlight += targets * min(count, targetLimit)
 		}
 	}
-	return taken, room
+	return inFlight, limit
 }
 
-// expectedWait is how long a request of the given rank would wait: those before it, at the pace at which places become
-// free for its rank. By Little's law that pace is the number of places taken by the time each is taken.
+// expectedWait returns the expected queue time of a request of the given rank: the number of requests ahead of it, divided by
+// the rate at which permits are released for its rank. By Little's law that rate is the number of permits in use divided by the
+// mean time that a permit is in use.
 func (scheduler *Scheduler) expectedWait(now clock.Moment, rank rank) clock.Milliseconds {
 	if scheduler.anyOpen(now) {
 		return 0
 	}
 	ahead := clock.Milliseconds(scheduler.waiting.ahead(rank))
-	pace := float64(max(scheduler.own, 1)) * scheduler.started.remaining(rank)
-	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(pace) * waitBias
+	availablePermits := float64(max(scheduler.own, 1)) * scheduler.started.remaining(rank)
+	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(availablePermits) * waitBias
 }
 
-// waitBias makes expected waits longer than the pace says. Part of the places are on targets that are slow, which
-// requests in time pass over.
+// waitBias is the factor by which expected waits exceed the estimate by Little's law. Some of the permits belong to slow targets,
+// which requests that are still on time skip.
 const waitBias = 2.0
 
-// retryAfter is when room is expected for a request that was refused now.
+// retryAfter returns the time after which a request that is refused now may be retried.
 func (scheduler *Scheduler) retryAfter(now clock.Moment) clock.Milliseconds {
 	return scheduler.retryAfterAtLeast(now, minRetryAfter)
 }
 
-// RetryAfter is when a caller may return whose request was refused by backend servers and not here.
+// RetryAfter returns the time after which a request that backend servers refused, rather than the Scheduler, may be retried.
 func (scheduler *Scheduler) RetryAfter() clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	return scheduler.retryAfterAtLeast(scheduler.clock.Now(), minRetryAfterServerRefusal)
 }
 
-// retryAfterAtLeast spreads by chance, so that those refused together don't return together.
-func (scheduler *Scheduler) retryAfterAtLeast(now clock.Moment, least clock.Milliseconds) clock.Milliseconds {
+// retryAfterAtLeast returns the expected wait of the lowest rank within the given minimum and maxRetryAfter, plus jitter, so that
+// callers refused together do not retry together.
+func (scheduler *Scheduler) retryAfterAtLeast(now clock.Moment, minimum clock.Milliseconds) clock.Milliseconds {
 	wait := scheduler.expectedWait(now, rankCount-1)
-	wait = min(max(wait, least), maxRetryAfter)
+	wait = min(max(wait, minimum), maxRetryAfter)
 	return wait * clock.Milliseconds(1+retryAfterJitter*scheduler.random.Float64())
 }
--- a/internal/service/baseline.go
+++ b/internal/service/baseline.go
@@ -2,31 +2,31 @@
 
 import "github.com/jaywheel/jaywheel/pkg/settings"
 
-// Policy is how a Dispatcher chooses among targets. All but PolicyLeastTaken are kept as baselines to measure against:
-// they bind a request at once, whatever is in flight on the target.
+// Policy is the method by which a Dispatcher chooses among targets. All but PolicyLeastUtilized are baselines for measurements.
+// Those other than PolicyDoubleShare bind a request immediately, whatever is in flight on the target.
 type Policy string
 
 // The policies.
 const (
-	// PolicyLeastUtilized takes the smallest share of places taken as this instance counts them, and lets requests wait in
-	// the instance when all places are taken.
+	// PolicyLeastUtilized chooses the target with the smallest share of permits in use as counted by this instance, and queues
+	// requests in the instance when all permits are in use.
 	PolicyLeastUtilized Policy = "leastTaken"
-	// PolicyDoubleShare does the same with twice the places at each serving instance.
+	// PolicyDoubleShare is PolicyLeastUtilized with twice as many permits at each serving instance.
 	PolicyDoubleShare Policy = "doubleShare"
-	// PolicyRandom takes any target.
+	// PolicyRandom chooses a random target.
 	PolicyRandom Policy = "random"
-	// PolicyRoundRobin takes each target in turn.
+	// PolicyRoundRobin chooses the targets in turn.
 	PolicyRoundRobin Policy = "roundRobin"
-	// PolicyTwoChoices takes the less loaded of two random targets, by their last load reports.
+	// PolicyTwoChoices chooses the less loaded of two random targets by their last load reports.
 	PolicyTwoChoices Policy = "twoChoices"
-	// PolicyTwoChoicesOwn does the same with its own requests in flight in place of reports.
+	// PolicyTwoChoicesOwn chooses the one of two random targets with fewer requests in flight from this instance.
 	PolicyTwoChoicesOwn Policy = "twoChoicesOwn"
 )
 
 // Policies lists every policy.
 var Policies = []Policy{PolicyLeastUtilized, PolicyDoubleShare, PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyTwoChoicesOwn}
 
-// shareFactor is how many even shares of a warm target's slots a serving instance may take.
+// shareFactor is the number of even shares of a warm target's slots that a serving instance may use.
 func (policy Policy) shareFactor() int {
 	if policy == PolicyDoubleShare {
 		return 2
@@ -34,29 +34,29 @@
 	return 1
 }
 
-// NeedsLoadReports reports whether the policy needs every instance to read every target's load report.
+// NeedsLoadReports reports whether the policy requires every instance to read every target's load report.
 func (policy Policy) NeedsLoadReports() bool {
 	return policy == PolicyTwoChoices
 }
 
-// choose picks a target by the policy in force, or returns nil when none takes a request.
-func (dispatcher *Dispatcher) choose(demand PermitRequest) *Target {
+// choose returns a target by the policy in force, or nil when none accepts another request.
+func (dispatcher *Dispatcher) choose(request PermitRequest) *Target {
 	if dispatcher.policy == PolicyLeastUtilized || dispatcher.policy == PolicyDoubleShare {
-		if demand.PreviousTarget == nil {
+		if request.PreviousTarget == nil {
 			return dispatcher.index.least(dispatcher.random, nil)
 		}
-		return dispatcher.index.least(dispatcher.random, &demand.PreviousTarget.bucketEntry)
+		return dispatcher.index.least(dispatcher.random, &request.PreviousTarget.bucketEntry)
 	}
-	open := dispatcher.availableBaselineTargets(demand.PreviousTarget)
-	if len(open) == 0 {
+	available := dispatcher.availableBaselineTargets(request.PreviousTarget)
+	if len(available) == 0 {
 		return nil
 	}
-	first := open[dispatcher.random.IntN(len(open))]
-	second := open[dispatcher.random.IntN(len(open))]
+	first := available[dispatcher.random.IntN(len(available))]
+	second := available[dispatcher.random.IntN(len(available))]
 	switch dispatcher.policy {
 	case PolicyRoundRobin:
 		dispatcher.roundRobinIndex++
-		return open[dispatcher.roundRobinIndex%len(open)]
+		return available[dispatcher.roundRobinIndex%len(available)]
 	case PolicyTwoChoices:
 		return lessLoaded(first, second, first.reportedLoad, second.reportedLoad)
 	case PolicyTwoChoicesOwn:
@@ -73,19 +73,20 @@
 	return first
 }
 
-// availableBaselineTargets lists the targets that a baseline may use: any that are warm and have a connection left.
-func (dispatcher *Dispatcher) availableBaselineTargets(tried *Target) []*Target {
-	open := dispatcher.availableBuffer[:0]
+// availableBaselineTargets returns the targets that a baseline may choose: all that have a limit above 0 and a connection left,
+// except the previous one.
+func (dispatcher *Dispatcher) availableBaselineTargets(previous *Target) []*Target {
+	available := dispatcher.availableBuffer[:0]
 	for _, target := range dispatcher.ordered {
-		if target.limit > 0 && target.ownInFlight < target.maxOwnInFlight && target != tried {
-			open = append(open, target)
+		if target.limit > 0 && target.ownInFlight < target.maxOwnInFlight && target != previous {
+			available = append(available, target)
 		}
 	}
-	dispatcher.availableBuffer = open
-	return open
+	dispatcher.availableBuffer = available
+	return available
 }
 
-// SetReportedLoad notes the load that a target told of itself.
+// SetReportedLoad records the load that a target reported.
 func (dispatcher *Dispatcher) SetReportedLoad(name settings.TargetName, load int) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -13,97 +13,98 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Reasons for which a request is refused. In each case nothing was sent to a backend server.
+// Reasons for which a request is refused. In each case nothing has been sent to a backend server.
 var (
-	// ErrNoTarget says that the service has no backend server at all.
+	// ErrNoTarget is returned when the service has no backend server.
 	ErrNoTarget = errors.New("no backend server")
-	// ErrQueueFull says that as many requests wait as may.
+	// ErrQueueFull is returned when the queue is full, or too long for the request to be served in time.
 	ErrQueueFull = errors.New("queue full")
-	// ErrQueueWait says that the request has waited as long as it may.
-	ErrQueueWait = errors.New("waited too long for a place")
-	// ErrDeadline says that the request's time ran out while it waited.
-	ErrDeadline = errors.New("deadline passed before a place was free")
+	// ErrQueueWait is returned when a request has waited for the maximum time.
+	ErrQueueWait = errors.New("waited too long for a permit")
+	// ErrDeadline is returned when the deadline of a request passed while it waited.
+	ErrDeadline = errors.New("deadline passed before a permit was free")
 )
 
-// failuresUntilThrottled is the number of failures in a row after which a target is tried by one request at a time.
+// failuresUntilThrottled is the number of consecutive failures after which a target gets one request at a time.
 const failuresUntilThrottled = 3
 
-// maxPenaltyDoublings bounds how often the penalty for a failure doubles: 2^5 times 100 ms is 3.2 s.
+// maxPenaltyDoublings limits how often the penalty for a failure doubles: 2^5 times 100 ms is 3.2 s.
 const maxPenaltyDoublings = 5
 
-// Result is how a request on a place ended.
+// Result is the outcome of a request that had a permit.
 type Result int
 
 // The results of a request.
 const (
 	// Succeeded means that the backend server answered.
 	Succeeded Result = iota
-	// Failed means that it broke the connection, refused, or answered with a server error.
+	// Failed means that the backend server broke the connection, refused the request, or answered with a server error.
 	Failed
-	// Cancelled means that the request ended for a reason that says nothing about the backend server.
+	// Cancelled means that the request ended for a reason unrelated to the backend server.
 	Cancelled
 )
 
-// Limits are the service's settings that bound queueing and failures.
+// Limits are the service's settings for queueing and for failures.
 type Limits struct {
 	QueueLength    int
 	QueueWait      clock.Milliseconds
 	FailurePenalty clock.Milliseconds
 }
 
-// Options are what a Dispatcher is made from.
+// Options are the parameters of NewDispatcher.
 type Options struct {
 	Clock  *clock.Clock
 	Rand   *rand.Rand
 	Limits Limits
-	// Policy is PolicyLeastTaken unless a baseline is measured.
+	// Policy is PolicyLeastUtilized except when a baseline is measured.
 	Policy Policy
 }
 
-// PermitRequest is what a request asks of a Dispatcher.
+// PermitRequest describes a request that needs a permit.
 type PermitRequest struct {
 	Priority settings.Priority
-	// TeamPriority goes before Priority. Only a Scheduler looks at it.
+	// TeamPriority takes precedence over Priority. Only a Scheduler uses it.
 	TeamPriority settings.Priority
-	// Deadline is the moment at which the answer is worth nothing any more.
+	// Deadline is the moment after which the answer is worthless.
 	Deadline clock.Moment
 	// PreviousTarget is the target on which an earlier attempt of the request failed, or nil.
 	PreviousTarget *Target
-	// Class and Aim are used by a Scheduler only: requests of one class take about the same time, and Aim is the moment
-	// until which an answer is worth most.
+	// Class and SoftDeadline are used by a Scheduler only. Requests of one class take about the same time. SoftDeadline is the
+	// moment until which an answer has its full value.
 	Class        settings.ClassName
 	SoftDeadline clock.Moment
 }
 
-// Permit is the right to have one request in flight on a target. Release gives it back.
+// Permit is the right to have one request in flight on a target. Release returns it.
 type Permit struct {
 	Target     *Target
 	dispatcher *Dispatcher
-	// QueueTime is how long the request waited for it.
+	// QueueTime is the time that the request waited for the permit.
 	QueueTime clock.Milliseconds
-	// InFlight is the number of places in use on the target as this instance saw it, this one included.
+	// InFlight is the number of permits in use on the target as far as this instance knew, including this one.
 	InFlight int
-	// Considered is the number of targets among which it was chosen.
+	// Considered is the number of targets from which the target was chosen.
 	Considered int
-	// acquiredAt is when it was taken.
+	// acquiredAt is the moment at which the permit was acquired.
 	acquiredAt clock.Moment
 	// TransferredBytes is the length of the request and its answer in bytes, set before Release.
 	TransferredBytes int
-	// LoadReading is what was known of the target when it was chosen.
+	// LoadReading is the load reading of the target at the time of the choice.
 	LoadReading Reading
 
-	// scheduler and candidate stand in place of dispatcher on a place that a Scheduler gave.
+	// scheduler and candidate are set instead of dispatcher on a permit that a Scheduler granted.
 	scheduler   *Scheduler
 	candidate   *candidate
 	classStats  *expectation
 	startedFast bool
-	// activeRequest is what the request sees of its target while it is under way.
+	// activeRequest records how many requests run on the target while this one is in flight.
 	activeRequest *flight
-	// trialClass is set when the request is one more than the target was thought to do well with.
+	// trialClass is set when the request exceeds the best known concurrency of the target, to find out whether more is
+	// possible.
 	trialClass *slotClass
 }
 
-// Dispatcher gives out the places of one service at one instance. It is safe for concurrent use.
+// Dispatcher grants the permits of one service at one instance. It is safe for concurrent use.
 type Dispatcher struct {
 	clock *clock.Clock
 
@@ -119,14 +120,14 @@
 	totalLimit       int
 	penaltyPermits   int
 	ownInFlight      int
-	// meanPermitDuration is how long a place is taken, on a moving average.
+	// meanPermitDuration is the time that a permit is in use, as a moving average.
 	meanPermitDuration clock.Milliseconds
-	// priorityShares are the parts of all places that each priority has been given, on a moving average.
+	// priorityShares holds each priority's share of all granted permits, as a moving average.
 	priorityShares [settings.LowestPriority + 1]float64
 	failingTargets int
 	policy         Policy
 
-	// ordered, open and turn serve the baselines.
+	// ordered, availableBuffer and roundRobinIndex are used by the baselines.
 	ordered         []*Target
 	availableBuffer []*Target
 	roundRobinIndex int
@@ -153,7 +154,7 @@
 	dispatcher.limits = limits
 }
 
-// Add makes a target known, without any place until SetLimit grants some. It does nothing when the name is known.
+// Add adds a target. It gets no permits until SetLimit sets its limit. Add does nothing when the name is known.
 func (dispatcher *Dispatcher) Add(name settings.TargetName, address string, dataCentre settings.DataCentreName) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -168,8 +169,9 @@
 	dispatcher.liveTargets++
 }
 
-// restore takes back a target that was removed while requests were still in flight on it. Keeping the same record keeps
-// their count: a fresh one would start at zero, and a server that is cold again would be given more than it bears.
+// restore reinstates a target that was removed while requests were still in flight on it. The record is reused to keep the
+// count of these requests: with a new one the count would start at zero, and a server that is cold again would get more
+// requests than it can handle.
 func (dispatcher *Dispatcher) restore(target *Target, address string, dataCentre settings.DataCentreName) {
 	if !target.removed {
 		return
@@ -180,7 +182,7 @@
 	dispatcher.liveTargets++
 }
 
-// Remove forgets a target. Requests in flight on it go on; no new one is given to it.
+// Remove removes a target. Requests in flight on it continue; it gets no new ones.
 func (dispatcher *Dispatcher) Remove(name settings.TargetName) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// deleteIfUnused drops a removed target once nothing is in flight on it.
+// deleteIfUnused deletes a removed target once nothing is in flight on it.
 func (dispatcher *Dispatcher) deleteIfUnused(target *Target) {
 	if target.removed && target.ownInFlight+target.penaltyPermits == 0 {
 		delete(dispatcher.targets, target.Name)
@@ -206,8 +208,8 @@
 	}
 }
 
-// SetLimit changes how many places a target has, and what others have taken of them. Waiting requests are given the
-// places that this frees.
+// SetLimit changes the limits of a target and the number of permits that other instances use on it. Permits that this frees are
+// granted to waiting requests.
 func (dispatcher *Dispatcher) SetLimit(name settings.TargetName, limit TargetLimit, others int) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -228,7 +230,7 @@
 	dispatcher.reindex(target)
 }
 
-// reindex puts target on the list where it now belongs.
+// reindex moves a target to its current bucket of the index.
 func (dispatcher *Dispatcher) reindex(target *Target) {
 	level := target.computeBucket(dispatcher.throttled(target))
 	if (level == notIndexed) != (target.bucketEntry.level == notIndexed) {
@@ -241,28 +243,28 @@
 	dispatcher.index.move(&target.bucketEntry, level)
 }
 
-// throttled reports whether target has failed so often that it is only tried by one request at a time. When more than
-// half of all targets fail, none is treated so: the cause then is most likely not the single target, and taking so
-// many away would topple the rest.
+// throttled reports whether a target has failed so often that it gets one request at a time. No target is throttled while more
+// than half of all targets fail: the cause is then most likely not the single target, and removing so much capacity would
+// overload the rest.
 func (dispatcher *Dispatcher) throttled(target *Target) bool {
 	return target.consecutiveFailures >= failuresUntilThrottled && 2*dispatcher.failingTargets <= dispatcher.liveTargets
 }
 
-// Acquire waits for a place. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
-func (dispatcher *Dispatcher) Acquire(ctx context.Context, demand PermitRequest) (Permit, error) {
+// Acquire waits for a permit. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
+func (dispatcher *Dispatcher) Acquire(ctx context.Context, request PermitRequest) (Permit, error) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	if dispatcher.liveTargets == 0 {
 		dispatcher.mutex.Unlock()
 		return Permit{}, ErrNoTarget
 	}
-	if dispatcher.waiting.length == 0 || demand.Priority < dispatcher.waiting.next().request.Priority {
-		if place, found := dispatcher.tryAcquire(now, demand); found {
+	if dispatcher.waiting.length == 0 || request.Priority < dispatcher.waiting.next().request.Priority {
+		if permit, found := dispatcher.tryAcquire(now, request); found {
 			dispatcher.mutex.Unlock()
-			return place, nil
+			return permit, nil
 		}
 	}
-	waiter, err := dispatcher.enqueue(now, demand)
+	waiter, err := dispatcher.enqueue(now, request)
 	dispatcher.mutex.Unlock()
 	if err != nil {
 		return Permit{}, err
@@ -270,101 +272,103 @@
 	return dispatcher.wait(ctx, waiter)
 }
 
-// tryAcquire takes a place if one is free.
-func (dispatcher *Dispatcher) tryAcquire(now clock.Moment, demand PermitRequest) (Permit, bool) {
-	listed := dispatcher.availableTargets
-	target := dispatcher.choose(demand)
+// tryAcquire acquires a permit if one is free.
+func (dispatcher *Dispatcher) tryAcquire(now clock.Moment, request PermitRequest) (Permit, bool) {
+	availableTargets := dispatcher.availableTargets
+	target := dispatcher.choose(request)
 	if target == nil {
 		return Permit{}, false
 	}
 	target.ownInFlight++
 	dispatcher.ownInFlight++
-	dispatcher.recordGrant(demand.Priority)
+	dispatcher.recordGrant(request.Priority)
 	dispatcher.reindex(target)
-	return Permit{Target: target, dispatcher: dispatcher, InFlight: target.inFlight(), Considered: listed, acquiredAt: now}, true
+	return Permit{Target: target, dispatcher: dispatcher, InFlight: target.inFlight(), Considered: availableTargets, acquiredAt: now}, true
 }
 
-// enqueue makes a request wait. One whose turn would not come in time is refused at once: it would wait for nothing, and
-// its caller could have gone elsewhere. When the queue is full, a less urgent request is refused in its favour.
-func (dispatcher *Dispatcher) enqueue(now clock.Moment, demand PermitRequest) (*waiter, error) {
-	if dispatcher.expectedWait(demand.Priority) > maxExpectedWaitShare*min(dispatcher.limits.QueueWait, demand.Deadline.Since(now)) {
+// enqueue adds a request to the queue. A request that is not expected to be served in time is refused immediately: it would
+// wait in vain, and its caller could have used another instance. When the queue is full, a less urgent request is refused in
+// its favour.
+func (dispatcher *Dispatcher) enqueue(now clock.Moment, request PermitRequest) (*waiter, error) {
+	if dispatcher.expectedWait(request.Priority) > maxExpectedWaitShare*min(dispatcher.limits.QueueWait, request.Deadline.Since(now)) {
 		return nil, ErrQueueFull
 	}
 	if dispatcher.waiting.length >= dispatcher.limits.QueueLength {
-		victim := dispatcher.waiting.evictionCandidate(demand.Priority)
-		if victim == nil {
+		evicted := dispatcher.waiting.evictionCandidate(request.Priority)
+		if evicted == nil {
 			return nil, ErrQueueFull
 		}
-		dispatcher.waiting.remove(victim)
-		victim.done <- grant{err: ErrQueueFull}
+		dispatcher.waiting.remove(evicted)
+		evicted.done <- grant{err: ErrQueueFull}
 	}
-	newcomer := &waiter{request: demand, enqueuedAt: now, maxWait: dispatcher.limits.QueueWait, done: make(chan grant, 1)}
-	dispatcher.waiting.push(newcomer)
-	return newcomer, nil
+	added := &waiter{request: request, enqueuedAt: now, maxWait: dispatcher.limits.QueueWait, done: make(chan grant, 1)}
+	dispatcher.waiting.push(added)
+	return added, nil
 }
 
-// maxExpectedWaitShare is the part of a request's longest wait that its expected wait may take up: expectations are off by
-// some, and those that were let in should be served.
+// maxExpectedWaitShare is the maximum expected wait of an admitted request, as a fraction of its maximum wait. It is below 1
+// because the estimate is imprecise and an admitted request should be served.
 const maxExpectedWaitShare = 0.7
 
 // averageWeight is the weight of one request in moving averages.
 const averageWeight = 0.02
 
-// minRemainingShare bounds how small a part of the places is taken to be left for a priority.
+// minRemainingShare is the smallest share of the permits that is assumed to be left for a priority.
 const minRemainingShare = 0.02
 
-func (dispatcher *Dispatcher) recordGrant(taken settings.Priority) {
+// recordGrant updates priorityShares with a permit granted to a request of the given priority.
+func (dispatcher *Dispatcher) recordGrant(granted settings.Priority) {
 	for priority := range dispatcher.priorityShares {
 		dispatcher.priorityShares[priority] -= averageWeight * dispatcher.priorityShares[priority]
 	}
-	dispatcher.priorityShares[taken] += averageWeight
+	dispatcher.priorityShares[granted] += averageWeight
 }
 
-// remainingShare is the part of the places that more urgent requests leave to a priority.
+// remainingShare returns the share of the permits that is left for a priority by more urgent requests.
 func (dispatcher *Dispatcher) remainingShare(priority settings.Priority) float64 {
-	left := 1.0
+	remaining := 1.0
 	for _, share := range dispatcher.priorityShares[:priority] {
-		left -= share
+		remaining -= share
 	}
-	return max(left, minRemainingShare)
+	return max(remaining, minRemainingShare)
 }
 
-// expectedWait is how long a request of the given priority would wait: those before it, at the pace at which places
-// become free for them. By Little's law that pace is the number of places taken by the time each is taken, and more
-// urgent requests, also those that have yet to come, leave only a part of it.
+// expectedWait returns the expected queue time of a request of the given priority: the number of requests ahead of it, divided
+// by the rate at which permits are released for them. By Little's law that rate is the number of permits in use divided by the
+// mean time that a permit is in use. More urgent requests, including those that arrive later, leave only a part of it.
 func (dispatcher *Dispatcher) expectedWait(priority settings.Priority) clock.Milliseconds {
 	if dispatcher.ownInFlight == 0 {
 		return 0
 	}
 	ahead := dispatcher.waiting.ahead(priority)
-	pace := clock.Milliseconds(float64(dispatcher.ownInFlight) * dispatcher.remainingShare(priority))
-	return clock.Milliseconds(ahead) * dispatcher.meanPermitDuration / pace
+	availablePermits := clock.Milliseconds(float64(dispatcher.ownInFlight) * dispatcher.remainingShare(priority))
+	return clock.Milliseconds(ahead) * dispatcher.meanPermitDuration / availablePermits
 }
 
-// wait blocks until waiter has a place or is refused.
+// wait blocks until the waiter gets a permit or is refused.
 func (dispatcher *Dispatcher) wait(ctx context.Context, waiter *waiter) (Permit, error) {
-	longest := waiter.maxWait
-	reason := ErrQueueWait
-	if left := waiter.request.Deadline.Since(waiter.enqueuedAt); left < longest {
-		longest = left
-		reason = ErrDeadline
+	maxWait := waiter.maxWait
+	cause := ErrQueueWait
+	if remaining := waiter.request.Deadline.Since(waiter.enqueuedAt); remaining < maxWait {
+		maxWait = remaining
+		cause = ErrDeadline
 	}
-	timer := time.NewTimer(longest.Duration())
+	timer := time.NewTimer(maxWait.Duration())
 	defer timer.Stop()
 	select {
 	case granted := <-waiter.done:
 		return dispatcher.grantedPermit(waiter, granted)
 	case <-timer.C:
 	case <-ctx.Done():
-		reason = ctx.Err()
+		cause = ctx.Err()
 	}
 	dispatcher.mutex.Lock()
 	stillWaiting := dispatcher.waiting.remove(waiter)
 	dispatcher.mutex.Unlock()
 	if stillWaiting {
-		return Permit{}, reason
+		return Permit{}, cause
 	}
-	// A place arrived at the same instant; it is used, or else it would stay taken for ever.
+	// A permit or a refusal was sent at the same moment. A permit must reach the caller, as it would stay in use for ever otherwise.
 	return dispatcher.grantedPermit(waiter, <-waiter.done)
 }
 
@@ -376,45 +380,45 @@
 	return Permit{Target: granted.target, dispatcher: dispatcher, QueueTime: waited, InFlight: granted.inFlight, acquiredAt: granted.acquiredAt}, nil
 }
 
-// serveWaiting gives free places to waiting requests.
+// serveWaiting grants free permits to waiting requests.
 func (dispatcher *Dispatcher) serveWaiting() {
 	for dispatcher.waiting.length > 0 {
 		first := dispatcher.waiting.next()
-		place, found := dispatcher.tryAcquire(dispatcher.clock.Now(), first.request)
+		permit, found := dispatcher.tryAcquire(dispatcher.clock.Now(), first.request)
 		if !found {
 			return
 		}
 		dispatcher.waiting.remove(first)
-		first.done <- grant{target: place.Target, inFlight: place.InFlight, acquiredAt: place.acquiredAt}
+		first.done <- grant{target: permit.Target, inFlight: permit.InFlight, acquiredAt: permit.acquiredAt}
 	}
 }
 
-// refuseAll ends every wait.
-func (dispatcher *Dispatcher) refuseAll(reason error) {
+// refuseAll refuses all waiting requests.
+func (dispatcher *Dispatcher) refuseAll(cause error) {
 	for dispatcher.waiting.length > 0 {
 		first := dispatcher.waiting.next()
 		dispatcher.waiting.remove(first)
-		first.done <- grant{err: reason}
+		first.done <- grant{err: cause}
 	}
 }
 
-// Release gives the place back and learns from how the request ended.
-func (place Permit) Release(result Result) {
-	if place.scheduler != nil {
-		place.scheduler.release(place, result)
+// Release returns the permit and updates the statistics of the target with the result of the request.
+func (permit Permit) Release(result Result) {
+	if permit.scheduler != nil {
+		permit.scheduler.release(permit, result)
 		return
 	}
-	place.dispatcher.release(place, result)
+	permit.dispatcher.release(permit, result)
 }
 
-func (dispatcher *Dispatcher) release(place Permit, result Result) {
+func (dispatcher *Dispatcher) release(permit Permit, result Result) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	target := place.Target
+	target := permit.Target
 	target.ownInFlight--
 	dispatcher.ownInFlight--
-	dispatcher.meanPermitDuration += averageWeight * (now.Since(place.acquiredAt) - dispatcher.meanPermitDuration)
+	dispatcher.meanPermitDuration += averageWeight * (now.Since(permit.acquiredAt) - dispatcher.meanPermitDuration)
 	switch result {
 	case Succeeded:
 		dispatcher.setConsecutiveFailures(target, 0)
@@ -427,22 +431,22 @@
 	dispatcher.serveWaiting()
 }
 
-// penalize counts a failure. A server that fails fast has few requests in flight and would look like the best choice, so
-// it would draw nearly all requests; one notices many errors at a low load. Keeping the place taken for a while makes
-// a failure weigh as much as a slow answer. At most half of all places are kept so at once.
+// penalize records a failure. A server that fails fast has few requests in flight and would look like the best choice, so
+// nearly all requests would go to it; the symptom is many errors at a low load. Withholding the permit for a while makes a
+// failure count as much as a slow answer. At most half of all permits are withheld at a time.
 func (dispatcher *Dispatcher) penalize(target *Target) {
 	dispatcher.setConsecutiveFailures(target, target.consecutiveFailures+1)
 	if 2*(dispatcher.penaltyPermits+1) > dispatcher.totalLimit || target.removed {
 		return
 	}
 	doublings := min(target.consecutiveFailures-1, maxPenaltyDoublings)
-	length := dispatcher.limits.FailurePenalty * clock.Milliseconds(int(1)<<doublings)
+	duration := dispatcher.limits.FailurePenalty * clock.Milliseconds(int(1)<<doublings)
 	target.penaltyPermits++
 	dispatcher.penaltyPermits++
-	dispatcher.penalties = append(dispatcher.penalties, penalty{target: target, until: dispatcher.clock.Now().Add(length)})
+	dispatcher.penalties = append(dispatcher.penalties, penalty{target: target, until: dispatcher.clock.Now().Add(duration)})
 }
 
-// setConsecutiveFailures sets the number of failures in a row, and keeps count of the targets that fail.
+// setConsecutiveFailures sets a target's number of consecutive failures and updates the number of failing targets.
 func (dispatcher *Dispatcher) setConsecutiveFailures(target *Target, failures int) {
 	before := target.consecutiveFailures >= failuresUntilThrottled
 	target.consecutiveFailures = failures
@@ -457,28 +461,28 @@
 	}
 }
 
-// ReleaseExpiredPenalties gives back the places whose time as a penalty is over. The control goroutine calls it every few milliseconds.
+// ReleaseExpiredPenalties returns the permits whose penalty has expired. The control goroutine calls it every few milliseconds.
 func (dispatcher *Dispatcher) ReleaseExpiredPenalties() {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
 	kept := dispatcher.penalties[:0]
-	for _, held := range dispatcher.penalties {
-		if now < held.until {
-			kept = append(kept, held)
+	for _, penalty := range dispatcher.penalties {
+		if now < penalty.until {
+			kept = append(kept, penalty)
 			continue
 		}
-		held.target.penaltyPermits--
+		penalty.target.penaltyPermits--
 		dispatcher.penaltyPermits--
-		dispatcher.reindex(held.target)
-		dispatcher.deleteIfUnused(held.target)
+		dispatcher.reindex(penalty.target)
+		dispatcher.deleteIfUnused(penalty.target)
 	}
 	clear(dispatcher.penalties[len(kept):])
 	dispatcher.penalties = kept
 	dispatcher.serveWaiting()
 }
 
-// TargetState is a copy of what the Dispatcher knows of a target.
+// TargetState is a snapshot of a target.
 type TargetState struct {
 	Name           settings.TargetName     `json:"name"`
 	Address        string                  `json:"address"`
@@ -507,7 +511,7 @@
 	return states, dispatcher.waiting.length
 }
 
-// OwnInFlight returns how many places this instance has taken on the target.
+// OwnInFlight returns the number of permits that this instance uses on the target.
 func (dispatcher *Dispatcher) OwnInFlight(name settings.TargetName) int {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -72,7 +72,7 @@
 // Whatever happens to targets and requests, in whatever order, the Dispatcher gives a place exactly when the naive
 // version knows a free one, on a target whose share of taken places is the smallest to within one level, and never
 // exceeds a limit that is not to be exceeded.
-func TestDispatcherMatchesReferenceModel(t *testing.T) {
+func TestDispatcherAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manual := clock.NewManual()
 		dispatcher := NewDispatcher(Options{
@@ -250,7 +250,7 @@
 
 // While all places are taken, requests wait and are served by urgency; each wait ends by a place, its limit, its
 // deadline or its caller, whichever comes first.
-func TestWaitOutcomes(t *testing.T) {
+func TestWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(Options{
 			Clock: clock.New(), Rand: rand.New(rand.NewPCG(1, 1)),
--- a/internal/service/pendingpermit.go
+++ b/internal/service/pendingpermit.go
@@ -9,14 +9,15 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// PendingPermit is a request that waits for a place. Whoever holds it looks whether there is one, which needs no goroutine of its own.
+// PendingPermit is a request that waits for a permit. Its holder polls for the result, so a waiting request needs no goroutine.
 type PendingPermit struct {
 	scheduler *Scheduler
 	waiter    rankedWaiter
 }
 
-// AcquireOrEnqueue asks for a place without waiting: it returns one, or a ticket, or a *RefusedError.
-func (scheduler *Scheduler) AcquireOrEnqueue(demand PermitRequest) (Permit, *PendingPermit, error) {
+// AcquireOrEnqueue requests a permit without blocking. It returns a Permit, or a PendingPermit if the request was queued, or a
+// *RefusedError.
+func (scheduler *Scheduler) AcquireOrEnqueue(request PermitRequest) (Permit, *PendingPermit, error) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -24,53 +25,53 @@
 	if scheduler.usable == 0 {
 		return Permit{}, nil, &RefusedError{Cause: ErrNoTarget, ComeBack: retryAfterNoTarget}
 	}
-	waiter := scheduler.newWaiter(now, demand)
+	waiter := scheduler.newWaiter(now, request)
 	if scheduler.waiting.ahead(waiter.rank) == 0 {
-		if place, found := scheduler.takeNow(now, &waiter); found {
-			return place, nil, nil
+		if permit, found := scheduler.takeNow(now, &waiter); found {
+			return permit, nil, nil
 		}
 	}
-	ticket := &PendingPermit{scheduler: scheduler, waiter: waiter}
-	ticket.waiter.done = make(chan scheduledGrant, 1)
-	if err := scheduler.enqueue(now, &ticket.waiter); err != nil {
+	pendingPermit := &PendingPermit{scheduler: scheduler, waiter: waiter}
+	pendingPermit.waiter.done = make(chan scheduledGrant, 1)
+	if err := scheduler.enqueue(now, &pendingPermit.waiter); err != nil {
 		return Permit{}, nil, err
 	}
-	return Permit{}, ticket, nil
+	return Permit{}, pendingPermit, nil
 }
 
-// Poll returns the place or the refusal, if there is one by now.
-func (ticket *PendingPermit) Poll() (Permit, bool, error) {
+// Poll returns the permit or a *RefusedError, and whether the wait has ended with one of them.
+func (pendingPermit *PendingPermit) Poll() (Permit, bool, error) {
 	select {
-	case granted := <-ticket.waiter.done:
-		place, err := ticket.scheduler.grantedPermit(&ticket.waiter, granted)
-		return place, true, err
+	case granted := <-pendingPermit.waiter.done:
+		permit, err := pendingPermit.scheduler.grantedPermit(&pendingPermit.waiter, granted)
+		return permit, true, err
 	default:
 		return Permit{}, false, nil
 	}
 }
 
-// WaitDeadline is when the wait is over.
-func (ticket *PendingPermit) WaitDeadline() clock.Moment {
-	return ticket.waiter.waitDeadline
+// WaitDeadline returns the moment at which the wait ends and the holder calls Cancel.
+func (pendingPermit *PendingPermit) WaitDeadline() clock.Moment {
+	return pendingPermit.waiter.waitDeadline
 }
 
-// Cancel ends the wait. A place that has come meanwhile is returned, or else it would stay taken for ever; otherwise the error is a
-// *RefusedError.
-func (ticket *PendingPermit) Cancel() (Permit, error) {
-	scheduler := ticket.scheduler
+// Cancel ends the wait. It returns the permit if one was granted in the meantime, and the caller must release it, as the permit
+// would stay in use for ever otherwise. If none was granted, it returns a *RefusedError.
+func (pendingPermit *PendingPermit) Cancel() (Permit, error) {
+	scheduler := pendingPermit.scheduler
 	scheduler.mutex.Lock()
-	stillWaiting := scheduler.waiting.remove(&ticket.waiter)
-	comeBack := scheduler.retryAfter(scheduler.clock.Now())
+	stillWaiting := scheduler.waiting.remove(&pendingPermit.waiter)
+	retryAfter := scheduler.retryAfter(scheduler.clock.Now())
 	scheduler.mutex.Unlock()
 	if !stillWaiting {
-		return scheduler.grantedPermit(&ticket.waiter, <-ticket.waiter.done)
+		return scheduler.grantedPermit(&pendingPermit.waiter, <-pendingPermit.waiter.done)
 	}
-	return Permit{}, &RefusedError{Cause: ErrQueueWait, ComeBack: comeBack}
+	return Permit{}, &RefusedError{Cause: ErrQueueWait, ComeBack: retryAfter}
 }
 
-// wait blocks until there is a place or a refusal.
-func (ticket *PendingPermit) wait(ctx context.Context) (Permit, error) {
-	scheduler, waiter := ticket.scheduler, &ticket.waiter
+// wait blocks until the permit is granted or the request is refused. The error is a *RefusedError or the context's.
+func (pendingPermit *PendingPermit) wait(ctx context.Context) (Permit, error) {
+	scheduler, waiter := pendingPermit.scheduler, &pendingPermit.waiter
 	timer := time.NewTimer(waiter.waitDeadline.Since(scheduler.clock.Now()).Duration())
 	defer timer.Stop()
 	var cancelled error
@@ -81,18 +82,19 @@
 	case <-ctx.Done():
 		cancelled = ctx.Err()
 	}
-	place, err := ticket.Cancel()
+	permit, err := pendingPermit.Cancel()
 	if cancelled != nil && errors.Is(err, ErrQueueWait) {
 		return Permit{}, cancelled
 	}
-	return place, err
+	return permit, err
 }
 
+// grantedPermit returns the result of a wait, with the queue time filled in.
 func (scheduler *Scheduler) grantedPermit(waiter *rankedWaiter, granted scheduledGrant) (Permit, error) {
 	if granted.err != nil {
 		return Permit{}, granted.err
 	}
-	place := granted.place
-	place.QueueTime = place.acquiredAt.Since(waiter.enqueuedAt)
-	return place, nil
+	permit := granted.permit
+	permit.QueueTime = permit.acquiredAt.Since(waiter.enqueuedAt)
+	return permit, nil
 }
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -8,56 +8,58 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// rank orders waiting requests: those that can still be in time by priority, then those that will be late by priority.
-// An answer in time is worth ten late ones to the users, so a late one never takes its place.
+// rank is the order in which waiting requests are served: first the requests that can still meet their soft deadline, by
+// priority, then the late ones, by priority. An answer on time is worth ten late ones to the users, so a late request never goes
+// before one that is on time.
 type rank int
 
 const (
 	priorityCount = rank(settings.LowestPriority + 1)
-	// firstLateRank is the rank of the most urgent requests that will be late.
+	// firstLateRank is the rank of the most urgent late requests.
 	firstLateRank = priorityCount * priorityCount
 	rankCount     = 2 * firstLateRank
 )
 
-// rankOf ranks a request by its team's priority and then by its own.
-func rankOf(demand PermitRequest, late bool) rank {
-	urgency := rank(demand.TeamPriority)*priorityCount + rank(demand.Priority)
+// rankOf returns the rank of a request, by the priority of its team first and then by its own.
+func rankOf(request PermitRequest, late bool) rank {
+	urgency := rank(request.TeamPriority)*priorityCount + rank(request.Priority)
 	if late {
 		return firstLateRank + urgency
 	}
 	return urgency
 }
 
-// rankedWaiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
+// rankedWaiter is a request that waits for a permit. Exactly one scheduledGrant is sent on done.
 type rankedWaiter struct {
 	request PermitRequest
-	// classStats is what is known of its class.
+	// classStats holds the statistics of the request's class.
 	classStats   *expectation
 	enqueuedAt   clock.Moment
 	waitDeadline clock.Moment
-	// startDeadline is when it must start to be in time.
+	// startDeadline is the latest moment at which the request must start to meet its soft deadline.
 	startDeadline clock.Moment
 	done          chan scheduledGrant
 	rank          rank
 
-	// queued says that it is in a rankedQueue, where number tells the order in which requests were added.
+	// queued is true while the element is in a rankedQueue; sequence is the order in which elements were added there.
 	queued         bool
 	sequence       int
 	previous, next *rankedWaiter
 	overdueTimer   timer[rankedWaiter]
 }
 
+// scheduledGrant is the result of a wait: a permit, or the error with which the request is refused.
 type scheduledGrant struct {
-	place Permit
-	err   error
+	permit Permit
+	err    error
 }
 
-// late reports whether the request is past the moment at which it should have started.
+// late reports whether the request has a late rank.
 func (waiter *rankedWaiter) late() bool {
 	return waiter.rank >= firstLateRank
 }
 
-// rankedList holds the waiting requests of one rank in the order in which they were added.
+// rankedList is a linked list of the waiting requests of one rank, in the order in which they were added.
 type rankedList struct {
 	first, last *rankedWaiter
 	length      int
@@ -68,7 +70,7 @@
 	length       int
 	lastSequence int
 	lists        [rankCount]rankedList
-	// startDeadlines holds those that aren't late by the moment from which they are.
+	// startDeadlines holds a timer for each request without a late rank, due at its start deadline.
 	startDeadlines timerQueue[rankedWaiter]
 	overdueBuffer  []*rankedWaiter
 }
@@ -92,7 +94,7 @@
 	}
 }
 
-// remove takes waiter out, and reports whether it was still waiting.
+// remove removes waiter from the queue, and reports whether it was in the queue.
 func (rankedQueue *rankedQueue) remove(waiter *rankedWaiter) bool {
 	if !waiter.queued {
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// ahead returns the number of requests that one of the given rank would wait for.
+// ahead returns the number of queued requests that are served before a new request of the given rank.
 func (rankedQueue *rankedQueue) ahead(rank rank) int {
 	ahead := 0
 	for before := range rank + 1 {
@@ -125,22 +127,22 @@
 	return ahead
 }
 
-// each visits the waiting requests in order until visit returns false. The visited one may be removed.
+// each calls visit for the waiting requests in order until it returns false. visit may remove the request that it is called with.
 func (rankedQueue *rankedQueue) each(visit func(*rankedWaiter) bool) {
 	for index := range rankedQueue.lists {
 		for waiter := rankedQueue.lists[index].first; waiter != nil; {
-			behind := waiter.next
+			next := waiter.next
 			if !visit(waiter) {
 				return
 			}
-			waiter = behind
+			waiter = next
 		}
 	}
 }
 
-// unmarkOverdue returns the requests whose moment to start has passed and that aren't ranked as late yet, in their order. They stay
-// in the queue; the slice is used again by the next call.
-func (rankedQueue *rankedQueue) unmarkOverdue(now clock.Moment) []*rankedWaiter {
+// popOverdue removes the timers of the requests whose start deadline has passed and which have no late rank yet, and returns
+// these requests in queue order. They stay in the queue. The next call reuses the slice.
+func (rankedQueue *rankedQueue) popOverdue(now clock.Moment) []*rankedWaiter {
 	found := rankedQueue.overdueBuffer[:0]
 	for first := rankedQueue.startDeadlines.due(now); first != nil && first.startDeadline < now; first = rankedQueue.startDeadlines.due(now) {
 		rankedQueue.startDeadlines.remove(&first.overdueTimer)
--- a/internal/service/retrybudget.go
+++ b/internal/service/retrybudget.go
@@ -2,65 +2,66 @@
 
 import "sync/atomic"
 
-// thousandthsPerRetry is one request in the budget's count, which works in thousandths.
+// thousandthsPerRetry is the cost of one retry. The budget counts in thousandths of a retry.
 const thousandthsPerRetry = 1000
 
-// maxBudget is how many retries can be saved up, so that a quiet service can still retry its first failures and a
-// busy one can't store enough for a storm.
+// maxBudget is the maximum balance, 10 retries: a quiet service can still retry its first failures, and a busy one cannot
+// accumulate enough retries for a retry storm.
 const maxBudget = 10 * thousandthsPerRetry
 
-// RetryBudget lets a share of live requests be sent again. Without it, retries multiply the load exactly when backend
-// servers fail because there is too much of it. It is safe for concurrent use.
+// RetryBudget limits retries to a share of the live requests. Without a limit, retries multiply the load exactly when backend
+// servers fail because they are overloaded. It is safe for concurrent use.
 type RetryBudget struct {
 	thousandths atomic.Int64
 	perRequest  atomic.Int64
 	capacity    atomic.Int64
 }
 
-// NewRetryBudget returns a full budget that regains share of a retry with each live request.
-func NewRetryBudget(share float64) *RetryBudget {
+// NewRetryBudget returns a full budget to which each live request adds the given ratio of a retry, from 0 to 1.
+func NewRetryBudget(ratio float64) *RetryBudget {
 	budget := &RetryBudget{}
 	budget.capacity.Store(maxBudget)
 	budget.thousandths.Store(maxBudget)
-	budget.SetRetryRatio(share)
+	budget.SetRetryRatio(ratio)
 	return budget
 }
 
-// NewSharedRetryBudget returns the budget of one of many instances that share an allowance: it starts with a single retry, and
-// saves up to the given number. With a full one each, a fleet that is restarted would have a storm of them to spend at once.
-func NewSharedRetryBudget(share float64, most int) *RetryBudget {
+// NewSharedRetryBudget returns the budget of one of several instances that share an allowance. It starts with a single retry
+// and accumulates up to capacity retries. If each instance started with a full budget, a restarted fleet could spend all of
+// them at once as a retry storm.
+func NewSharedRetryBudget(ratio float64, capacity int) *RetryBudget {
 	budget := &RetryBudget{}
-	budget.SetCapacity(most)
+	budget.SetCapacity(capacity)
 	budget.thousandths.Store(thousandthsPerRetry)
-	budget.SetRetryRatio(share)
+	budget.SetRetryRatio(ratio)
 	return budget
 }
 
-// SetCapacity changes the number of retries that may be saved up.
-func (budget *RetryBudget) SetCapacity(most int) {
-	budget.capacity.Store(int64(max(most, 1)) * thousandthsPerRetry)
+// SetCapacity changes the number of retries that the budget can accumulate, at least 1.
+func (budget *RetryBudget) SetCapacity(capacity int) {
+	budget.capacity.Store(int64(max(capacity, 1)) * thousandthsPerRetry)
 }
 
-// SetRetryRatio changes the share of live requests that may be sent again, from 0 to 1.
-func (budget *RetryBudget) SetRetryRatio(share float64) {
-	budget.perRequest.Store(int64(share * thousandthsPerRetry))
+// SetRetryRatio changes the number of retries allowed per live request, from 0 to 1.
+func (budget *RetryBudget) SetRetryRatio(ratio float64) {
+	budget.perRequest.Store(int64(ratio * thousandthsPerRetry))
 }
 
-// Deposit counts one live request.
+// Deposit adds the share of a retry that one live request contributes.
 func (budget *RetryBudget) Deposit() {
 	if budget.thousandths.Load() < budget.capacity.Load() {
 		budget.thousandths.Add(budget.perRequest.Load())
 	}
 }
 
-// TryWithdraw takes one retry out of the budget, and reports whether there was one.
+// TryWithdraw removes one retry from the budget, and reports whether one was available.
 func (budget *RetryBudget) TryWithdraw() bool {
 	for {
-		left := budget.thousandths.Load()
-		if left < thousandthsPerRetry {
+		balance := budget.thousandths.Load()
+		if balance < thousandthsPerRetry {
 			return false
 		}
-		if budget.thousandths.CompareAndSwap(left, left-thousandthsPerRetry) {
+		if budget.thousandths.CompareAndSwap(balance, balance-thousandthsPerRetry) {
 			return true
 		}
 	}
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -252,7 +252,7 @@
 			return scheduler.anyOpen(now)
 		}
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{place: place}
+		waiter.done <- scheduledGrant{permit: place}
 		return true
 	})
 }
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -5,60 +5,61 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// bucketCount is how finely the share of taken places is told apart; one bit of a word stands for each.
+// bucketCount is the number of buckets into which targets are sorted by utilization; each has one bit of a 64-bit word.
 const bucketCount = 64
 
-// notIndexed is the level of a target that can take no further request.
+// notIndexed is the bucket of a target that cannot accept another request.
 const notIndexed = -1
 
-// Target is one backend server as this instance sees it. All fields below its identity are guarded by the
+// Target is one backend server from the point of view of this instance. All fields after its identity are guarded by the
 // Dispatcher's mutex.
 type Target struct {
 	Name       settings.TargetName
 	Address    string
 	DataCentre settings.DataCentreName
 
-	// ownInFlight counts the places that requests of this instance have taken.
+	// ownInFlight is the number of permits in use by requests of this instance.
 	ownInFlight int
-	// penaltyPermits counts places kept taken for a while after a failure.
+	// penaltyPermits is the number of permits withheld for a while after failures.
 	penaltyPermits int
-	// othersInFlight counts the places that other instances said they have taken.
+	// othersInFlight is the number of permits in use by other instances, as last reported by them.
 	othersInFlight int
-	// limit is the number of places that all instances together should take.
+	// limit is the maximum number of permits for all instances together.
 	limit int
-	// minShare is the number of places that this instance may take whatever others said, since what they said is
-	// always a little old. It is 0 on a target that is not safe to overrun.
+	// minShare is the number of permits that this instance may use regardless of the reports of other instances, since these
+	// are always slightly out of date. It is 0 on a target that must not be overrun.
 	minShare int
-	// maxOwnInFlight is the number of places that this instance may never exceed.
+	// maxOwnInFlight is the maximum number of permits for this instance, which it never exceeds.
 	maxOwnInFlight int
-	// consecutiveFailures counts failed requests since the last success.
+	// consecutiveFailures is the number of failed requests since the last success.
 	consecutiveFailures int
-	// removed says that no new request may go to it; the record stays until the last one in flight has ended.
+	// removed is true for a target that gets no new requests. The record is kept until the last request in flight on it has
+	// ended.
 	removed bool
 
-	// reportedLoad is the load that it told of itself, for the baselines that go by it.
+	// reportedLoad is the load that the target last reported, for the baselines that use it.
 	reportedLoad int
 
-	// bucketEntry is where it stands among the targets by the share of places taken.
+	// bucketEntry is the target's entry in the index by utilization.
 	bucketEntry levelEntry[Target]
 }
 
-// TargetLimit is what the control goroutine decides about a target.
+// TargetLimit holds the limits that the control goroutine sets for a target.
 type TargetLimit struct {
-	// Limit is the number of places that all instances together should take.
+	// Limit is the maximum number of permits for all instances together.
 	Limit int
-	// MinShare is the number of places this instance may take whatever others take.
+	// MinShare is the number of permits that this instance may use regardless of what other instances use.
 	MinShare int
-	// MaxOwnInFlight is the number of places this instance never exceeds.
+	// MaxOwnInFlight is the maximum number of permits for this instance, which it never exceeds.
 	MaxOwnInFlight int
 }
 
-// inFlight is the number of places in use as far as this instance knows.
+// inFlight returns the number of permits in use as far as this instance knows, penalties included.
 func (target *Target) inFlight() int {
 	return target.ownInFlight + target.penaltyPermits + target.othersInFlight
 }
 
-// effectiveLimit returns the limit in force: a target that keeps failing is tried by one request at a time.
+// effectiveLimit returns the limit in force: a target that keeps failing gets one request at a time.
 func (target *Target) effectiveLimit(failing bool) int {
 	if failing {
 		return min(target.limit, 1)
@@ -66,23 +67,23 @@
 	return target.limit
 }
 
-// computeBucket returns the level at which target is to be listed.
+// computeBucket returns the bucket in which the target is indexed, or notIndexed.
 func (target *Target) computeBucket(failing bool) int {
-	mine := target.ownInFlight + target.penaltyPermits
+	own := target.ownInFlight + target.penaltyPermits
 	limit := target.effectiveLimit(failing)
-	if mine >= target.maxOwnInFlight || limit == 0 {
+	if own >= target.maxOwnInFlight || limit == 0 {
 		return notIndexed
 	}
-	if taken := target.inFlight(); taken < limit {
-		return taken * bucketCount / limit
+	if inFlight := target.inFlight(); inFlight < limit {
+		return inFlight * bucketCount / limit
 	}
-	if !failing && mine < target.minShare {
+	if !failing && own < target.minShare {
 		return bucketCount - 1
 	}
 	return notIndexed
 }
 
-// penalty is a place kept taken until a moment.
+// penalty is a permit that is withheld until a moment.
 type penalty struct {
 	target *Target
 	until  clock.Moment
--- a/internal/service/timers.go
+++ b/internal/service/timers.go
@@ -2,22 +2,23 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// timer is something that is due for an item at a moment.
+// timer schedules an item for a moment in a timerQueue.
 type timer[T any] struct {
 	item *T
-	// position is its index in the queue plus one, 0 while it isn't queued.
+	// position is the index in the queue plus one, 0 while the timer is not queued.
 	position int
 }
 
-// timerQueue is a binary heap of timers, the earliest first.
+// timerQueue is a binary min-heap of timers, ordered by their moment.
 type timerQueue[T any] []timerAt[T]
 
+// timerAt is an element of a timerQueue.
 type timerAt[T any] struct {
 	at    clock.Moment
 	timer *timer[T]
 }
 
-// set queues a timer for the given moment, or moves it there.
+// set queues a timer for the given moment, or moves it there if it is queued already.
 func (timerQueue *timerQueue[T]) set(timer *timer[T], at clock.Moment) {
 	if timer.position == 0 {
 		*timerQueue = append(*timerQueue, timerAt[T]{})
@@ -28,7 +29,7 @@
 	timerQueue.sift(timer.position-1, timerAt[T]{at: at, timer: timer})
 }
 
-// remove takes a timer out, if it is queued.
+// remove removes a timer from the queue, if it is queued.
 func (timerQueue *timerQueue[T]) remove(timer *timer[T]) {
 	if timer.position == 0 {
 		return
@@ -43,7 +44,7 @@
 	timer.position = 0
 }
 
-// due returns the item of the earliest timer if its moment has come, or nil.
+// due returns the item of the earliest timer if its moment has been reached, or nil.
 func (timerQueue timerQueue[T]) due(now clock.Moment) *T {
 	if len(timerQueue) == 0 || timerQueue[0].at > now {
 		return nil
@@ -51,34 +52,35 @@
 	return timerQueue[0].timer.item
 }
 
-// sift puts a timer that is to stand at the given index higher or lower, as its moment asks.
-func (timerQueue timerQueue[T]) sift(index int, sifted timerAt[T]) {
+// sift moves an element from the given index up or down to its position in the heap order.
+func (timerQueue timerQueue[T]) sift(index int, entry timerAt[T]) {
 	for index > 0 {
-		above := (index - 1) / 2
-		if timerQueue[above].at <= sifted.at {
+		parent := (index - 1) / 2
+		if timerQueue[parent].at <= entry.at {
 			break
 		}
-		timerQueue.put(index, timerQueue[above])
-		index = above
+		timerQueue.put(index, timerQueue[parent])
+		index = parent
 	}
 	for {
-		below := 2*index + 1
-		if below >= len(timerQueue) {
+		child := 2*index + 1
+		if child >= len(timerQueue) {
 			break
 		}
-		if right := below + 1; right < len(timerQueue) && timerQueue[right].at < timerQueue[below].at {
-			below = right
+		if right := child + 1; right < len(timerQueue) && timerQueue[right].at < timerQueue[child].at {
+			child = right
 		}
-		if timerQueue[below].at >= sifted.at {
+		if timerQueue[child].at >= entry.at {
 			break
 		}
-		timerQueue.put(index, timerQueue[below])
-		index = below
+		timerQueue.put(index, timerQueue[child])
+		index = child
 	}
-	timerQueue.put(index, sifted)
+	timerQueue.put(index, entry)
 }
 
-func (timerQueue timerQueue[T]) put(index int, put timerAt[T]) {
-	timerQueue[index] = put
-	put.timer.position = index + 1
+// put stores an element at the given index and records the index in its timer.
+func (timerQueue timerQueue[T]) put(index int, entry timerAt[T]) {
+	timerQueue[index] = entry
+	entry.timer.position = index + 1
 }
--- a/internal/service/waiter.go
+++ b/internal/service/waiter.go
@@ -7,7 +7,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// waiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
+// waiter is a request that waits for a permit. Exactly one grant is sent on done.
 type waiter struct {
 	request    PermitRequest
 	enqueuedAt clock.Moment
@@ -16,7 +16,7 @@
 	element    *list.Element
 }
 
-// grant ends a wait: with a target whose place is already taken, or with the reason for which there will be none.
+// grant is the result of a wait: a target on which a permit has been acquired, or the error with which the request is refused.
 type grant struct {
 	target     *Target
 	inFlight   int
@@ -35,7 +35,7 @@
 	waitQueue.length++
 }
 
-// remove takes waiter out, and reports whether it was still waiting.
+// remove removes waiter from the queue, and reports whether it was in the queue.
 func (waitQueue *waitQueue) remove(waiter *waiter) bool {
 	if waiter.element == nil {
 		return false
@@ -46,9 +46,9 @@
 	return true
 }
 
-// next returns the request to serve first, without removing it: the oldest of the first priority that has any. Serving
-// the newest first would keep some quick under overload, but those that are overtaken would be refused late; here a
-// request that can't be served in time is refused when it comes.
+// next returns the request to serve first, without removing it: the oldest one of the most urgent priority that has any.
+// Serving the newest first would keep the wait of some requests short under overload, but the overtaken ones would be refused
+// late; here a request that cannot be served in time is refused on arrival.
 func (waitQueue *waitQueue) next() *waiter {
 	for priority := range waitQueue.lists {
 		if front := waitQueue.lists[priority].Front(); front != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// ahead returns the number of requests that a newcomer of the given priority would wait for.
+// ahead returns the number of queued requests that are served before a new request of the given priority.
 func (waitQueue *waitQueue) ahead(priority settings.Priority) int {
 	ahead := 0
 	for before := range priority + 1 {
@@ -68,11 +68,11 @@
 	return ahead
 }
 
-// evictionCandidate returns the request that is the first to be refused in favour of one with the given priority: the oldest
-// of the last priority below it. It returns nil when nothing that waits is less urgent.
+// evictionCandidate returns the request to refuse first in favour of one with the given priority: the oldest one of the least
+// urgent priority below it. It returns nil when no less urgent request waits.
 func (waitQueue *waitQueue) evictionCandidate(priority settings.Priority) *waiter {
-	for candidate := settings.LowestPriority; candidate > priority; candidate-- {
-		if front := waitQueue.lists[candidate].Front(); front != nil {
+	for lower := settings.LowestPriority; lower > priority; lower-- {
+		if front := waitQueue.lists[lower].Front(); front != nil {
 			oldest, _ := front.Value.(*waiter)
 			return oldest
 		}
--- a/internal/service/waitforfast.go
+++ b/internal/service/waitforfast.go
@@ -2,21 +2,26 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// A request that would start on a slow target can wait for a fast one instead. Where requests keep the pace at which they start,
-// one that starts slow takes a place for several times as long: with a quarter of the targets slow at any moment, half of all
-// places would be held by such requests, and under load the service would get half as much done. Where requests follow their
-// target's pace, a slow spell costs no more than what is left of it, and nobody waits. Which of the two holds is learnt.
+// A request that would start on a slow target can wait for a fast one instead. There are two kinds of service:
+//   - A request keeps the speed at which it started. One that starts on a slow target then uses a permit for several times as long:
+//     with a quarter of the targets slow at any moment, such requests would use half of all permits, and under load the throughput
+//     of the service would be halved.
+//   - A request follows the current speed of its target. A slowdown interval then delays it by no more than the rest of the interval,
+//     and no request waits.
+//
+// The Scheduler learns from completed requests which of the two applies.
 
-// loadReadingDelay is the time after a possible change of slowness within which a reading of it arrives: the owner's probe, and its word to
-// the other instances.
+// loadReadingDelay is the time after a possible change of a target's slowdown within which a new load reading arrives: the
+// probe by the target's owner and the owner's message to the other instances.
 const loadReadingDelay = 40 * clock.Millisecond
 
-// slow reports whether the target is known to be slow now, or may just have become so and is about to tell.
+// slow reports whether the target is known to be slow, or its slowdown may just have changed and the new load reading has not
+// arrived yet.
 func (candidate *candidate) slow(now clock.Moment) bool {
 	return candidate.slowNow(now) || candidate.awaitingLoadReading(now)
 }
 
-// slowNow reports whether the target is known to be slow now, for another reason than being cold.
+// slowNow reports whether the target is known to be slow for a reason other than being cold.
 func (candidate *candidate) slowNow(now clock.Moment) bool {
 	if candidate.stale(now) || candidate.cold(now) || candidate.reading.Slowdown < slowFrom {
 		return false
@@ -27,7 +32,8 @@
 	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)
 }
 
-// awaitingLoadReading reports whether the target's slowness may just have changed, so that a reading is under way.
+// awaitingLoadReading reports whether the target's slowdown may just have changed and a new load reading is expected within
+// loadReadingDelay.
 func (candidate *candidate) awaitingLoadReading(now clock.Moment) bool {
 	if candidate.cadence.period == 0 || candidate.stale(now) || candidate.cold(now) {
 		return false
@@ -35,7 +41,7 @@
 	return candidate.cadence.spell(now) == candidate.cadence.spell(candidate.reading.At)+1 && candidate.cadence.since(now) < loadReadingDelay
 }
 
-// timeUntilFast is how long a slow target takes until it may be fast.
+// timeUntilFast returns the time until a slow target may be fast.
 func (candidate *candidate) timeUntilFast(now clock.Moment) clock.Milliseconds {
 	switch {
 	case candidate.cadence.period == 0:
@@ -47,29 +53,31 @@
 	}
 }
 
-// minWaitGain is how many times longer a place must be taken by a request that starts now than by one that waits: a place that is passed
-// over does nothing meanwhile, and the target may stay slow.
+// minWaitGain is the minimum ratio of the completion time on the slow target to that after a wait at which a request waits. It
+// is above 1 because a permit that is skipped stays unused meanwhile and the target may stay slow.
 const minWaitGain = 1.5
 
-// shouldWaitForFast reports whether a request that would be finished on a slow target after the given time is to wait for a fast one. One
-// that can't wait that long starts if it would be finished before its deadline.
-func (scheduler *Scheduler) shouldWaitForFast(now clock.Moment, waiter *rankedWaiter, slow *candidate, finish clock.Milliseconds) bool {
+// shouldWaitForFast reports whether a request waits for a fast target instead of starting on the given slow one, where it would
+// complete after the given time. A request that cannot wait that long starts on the slow target if it would complete there
+// before its deadline.
+func (scheduler *Scheduler) shouldWaitForFast(now clock.Moment, waiter *rankedWaiter, slow *candidate, completion clock.Milliseconds) bool {
 	wait := slow.timeUntilFast(now)
 	if now.Add(wait) >= waiter.waitDeadline {
-		return now.Add(finish) > waiter.request.Deadline
+		return now.Add(completion) > waiter.request.Deadline
 	}
-	return finish > minWaitGain*(wait+scheduler.fastCompletionTime(waiter.classStats.work))
+	return completion > minWaitGain*(wait+scheduler.fastCompletionTime(waiter.classStats.work))
 }
 
-// fastCompletionTime is how long a request of the given usual length takes that starts when a target has just turned fast.
+// fastCompletionTime returns the expected duration of a request with the given usual duration that starts when a target has
+// just become fast.
 func (scheduler *Scheduler) fastCompletionTime(work clock.Milliseconds) clock.Milliseconds {
-	spell := spellLength
+	interval := spellLength
 	if scheduler.period > 0 {
-		spell = scheduler.period
+		interval = scheduler.period
 	}
 	followed := work
-	if work > spell {
-		followed = spell + (work-spell)*clock.Milliseconds(scheduler.overSpells())
+	if work > interval {
+		followed = interval + (work-interval)*clock.Milliseconds(scheduler.overSpells())
 	}
 	return scheduler.pace.expected(forecast{kept: work, followed: followed})
 }
--- a/internal/service/waitforfast_test.go
+++ b/internal/service/waitforfast_test.go
@@ -12,7 +12,7 @@
 
 // Requests that start on a slow server take five times as long, whatever becomes of the server, or only until it has recovered. A
 // forecast by the wrong one of the two sends requests where they are late, or lets them wait for nothing.
-func TestPaceIsLearned(t *testing.T) {
+func TestPaceIsLearnt(t *testing.T) {
 	const work = 100 * clock.Millisecond
 	slow := forecast{kept: 5 * work, followed: 1.5 * work}
 	cases := []struct {
