--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -505,7 +505,8 @@
 		}
 		states = append(states, TargetState{
 			Name: target.Name, Address: target.Address, DataCentre: target.DataCentre,
-			OwnInFlight: target.ownInFlight, PenaltyPermits: target.penaltyPermits, OthersInFlight: target.othersInFlight, Limit: target.limit, Failures: target.consecutiveFailures,
+			OwnInFlight: target.ownInFlight, PenaltyPermits: target.penaltyPermits, OthersInFlight: target.othersInFlight,
+			Limit: target.limit, Failures: target.consecutiveFailures,
 		})
 	}
 	return states, dispatcher.waiting.length
--- a/internal/service/dispatcher_bench_test.go
+++ b/internal/service/dispatcher_bench_test.go
@@ -24,41 +24,41 @@
 	return dispatcher
 }
 
-// BenchmarkChoice measures taking a place and giving it back, with a third of all places taken.
+// BenchmarkChoice measures acquiring and releasing a permit while a third of all permits are in use.
 func BenchmarkChoice(b *testing.B) {
 	for _, targets := range []int{20, 200, 920} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			dispatcher := newWarmDispatcher(targets, 6)
-			demand := PermitRequest{Deadline: clock.Moment(clock.Minute)}
+			request := PermitRequest{Deadline: clock.Moment(clock.Minute)}
 			for range targets * 2 {
-				if _, err := dispatcher.Acquire(context.Background(), demand); err != nil {
+				if _, err := dispatcher.Acquire(context.Background(), request); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				place, err := dispatcher.Acquire(context.Background(), demand)
+				permit, err := dispatcher.Acquire(context.Background(), request)
 				if err != nil {
 					b.Fatal(err)
 				}
-				place.Release(Succeeded)
+				permit.Release(Succeeded)
 			}
 		})
 	}
 }
 
-// BenchmarkChoiceParallel measures the same from all processors at once, which share one mutex.
+// BenchmarkChoiceParallel measures the same on all processors at once, which share one mutex.
 func BenchmarkChoiceParallel(b *testing.B) {
 	dispatcher := newWarmDispatcher(920, 6)
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
 		for loop.Next() {
-			place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: clock.Moment(clock.Minute)})
+			permit, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: clock.Moment(clock.Minute)})
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			place.Release(Succeeded)
+			permit.Release(Succeeded)
 		}
 	})
 }
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// referenceTarget is a target as a balancer without any index would keep it.
+// referenceTarget is a target of the referenceModel.
 type referenceTarget struct {
 	ownInFlight, consecutiveFailures int
 	penaltiesUntil                   []clock.Moment
@@ -23,22 +23,23 @@
 	present                          bool
 }
 
-// referenceModel decides by looking at every target each time. It is slow and plainly right, and the Dispatcher must agree.
+// referenceModel is a naive implementation that examines every target for each decision. It is slow and simple, and the
+// Dispatcher must agree with it.
 type referenceModel struct {
 	targets map[settings.TargetName]*referenceTarget
 }
 
-func (naive *referenceModel) penaltyPermits() int {
-	held := 0
-	for _, target := range naive.targets {
-		held += len(target.penaltiesUntil)
+func (referenceModel *referenceModel) penaltyPermits() int {
+	withheld := 0
+	for _, target := range referenceModel.targets {
+		withheld += len(target.penaltiesUntil)
 	}
-	return held
+	return withheld
 }
 
-func (naive *referenceModel) totalLimit() int {
+func (referenceModel *referenceModel) totalLimit() int {
 	capacity := 0
-	for _, target := range naive.targets {
+	for _, target := range referenceModel.targets {
 		if target.present {
 			capacity += target.limit.Limit
 		}
@@ -46,32 +47,31 @@
 	return capacity
 }
 
-// utilization returns the utilization of places taken, or false when the target takes no more.
+// utilization returns the share of permits in use, and whether the target accepts another request.
 func (target *referenceTarget) utilization() (float64, bool) {
-	mine := target.ownInFlight + len(target.penaltiesUntil)
-	if !target.present || target.limit.Limit == 0 || mine >= target.limit.MaxOwnInFlight {
+	own := target.ownInFlight + len(target.penaltiesUntil)
+	if !target.present || target.limit.Limit == 0 || own >= target.limit.MaxOwnInFlight {
 		return 0, false
 	}
-	if taken := mine + target.othersInFlight; taken < target.limit.Limit {
-		return float64(taken) / float64(target.limit.Limit), true
+	if inFlight := own + target.othersInFlight; inFlight < target.limit.Limit {
+		return float64(inFlight) / float64(target.limit.Limit), true
 	}
-	return 1, mine < target.limit.MinShare
+	return 1, own < target.limit.MinShare
 }
 
-// minUtilization returns the smallest share taken among targets that take more.
-func (naive *referenceModel) minUtilization() (float64, bool) {
-	least, found := 2.0, false
-	for _, target := range naive.targets {
-		if share, free := target.utilization(); free {
-			least, found = min(least, share), true
+// minUtilization returns the smallest utilization among the targets that accept another request, and whether there is any.
+func (referenceModel *referenceModel) minUtilization() (float64, bool) {
+	minimum, found := 2.0, false
+	for _, target := range referenceModel.targets {
+		if utilization, available := target.utilization(); available {
+			minimum, found = min(minimum, utilization), true
 		}
 	}
-	return least, found
+	return minimum, found
 }
 
-// Whatever happens to targets and requests, in whatever order, the Dispatcher gives a place exactly when the naive
-// version knows a free one, on a target whose share of taken places is the smallest to within one level, and never
-// exceeds a limit that is not to be exceeded.
+// For any sequence of changes to targets and requests, the Dispatcher grants a permit exactly when the reference model has a
+// free one, on a target whose utilization is the smallest to within one bucket, and it never exceeds a maximum.
 func TestDispatcherAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		manual := clock.NewManual()
@@ -80,7 +80,7 @@
 			Limits: Limits{QueueLength: 4, QueueWait: clock.Second, FailurePenalty: 100},
 		})
 		model := &referenceModel{targets: map[settings.TargetName]*referenceTarget{}}
-		var places []Permit
+		var permits []Permit
 		names := rapid.SampledFrom([]settings.TargetName{"a", "b", "c", "d", "e"})
 		t.Repeat(map[string]func(*rapid.T){
 			"add": func(t *rapid.T) {
@@ -109,33 +109,34 @@
 				}
 			},
 			"take": func(t *rapid.T) {
-				gone, cancel := context.WithCancel(context.Background())
+				cancelled, cancel := context.WithCancel(context.Background())
 				cancel()
-				least, free := model.minUtilization()
-				place, err := dispatcher.Acquire(gone, PermitRequest{Deadline: manual.Now().Add(clock.Second)})
-				require.Equal(t, free, err == nil, "%v", err)
+				minimum, available := model.minUtilization()
+				permit, err := dispatcher.Acquire(cancelled, PermitRequest{Deadline: manual.Now().Add(clock.Second)})
+				require.Equal(t, available, err == nil, "%v", err)
 				if err != nil {
 					return
 				}
-				target := model.targets[place.Target.Name]
-				share, takes := target.utilization()
-				require.True(t, takes)
-				require.LessOrEqual(t, share, least+1.0/bucketCount)
+				target := model.targets[permit.Target.Name]
+				utilization, available := target.utilization()
+				require.True(t, available)
+				require.LessOrEqual(t, utilization, minimum+1.0/bucketCount)
 				target.ownInFlight++
 				require.LessOrEqual(t, target.ownInFlight, target.limit.MaxOwnInFlight)
-				places = append(places, place)
+				permits = append(permits, permit)
 			},
 			"release": func(t *rapid.T) {
-				if len(places) == 0 {
-					t.Skip("nothing in flight")
+				if len(permits) == 0 {
+					t.Skip("no request in flight")
 				}
-				index := rapid.IntRange(0, len(places)-1).Draw(t, "which")
+				index := rapid.IntRange(0, len(permits)-1).Draw(t, "which")
 				result := rapid.SampledFrom([]Result{Succeeded, Failed, Cancelled}).Draw(t, "result")
-				place := places[index]
-				places = append(places[:index], places[index+1:]...)
-				target := model.targets[place.Target.Name]
+				permit := permits[index]
+				permits = append(permits[:index], permits[index+1:]...)
+				target := model.targets[permit.Target.Name]
 				target.ownInFlight--
-				// At most two failures in a row, so that no target is set aside; TestFailingTargets is about those.
+				// At most two consecutive failures, so that no target is throttled. TestFastFailingTargetGetsFewRequests and
+				// TestMostTargetsFailing cover throttling.
 				if result == Failed && target.consecutiveFailures >= failuresUntilThrottled-1 {
 					result = Succeeded
 				}
@@ -150,7 +151,7 @@
 					}
 				case Cancelled:
 				}
-				place.Release(result)
+				permit.Release(result)
 				if !target.present && target.ownInFlight+len(target.penaltiesUntil) == 0 {
 					target.consecutiveFailures = 0
 				}
@@ -171,6 +172,7 @@
 	})
 }
 
+// unexpired returns the moments after now.
 func unexpired(moments []clock.Moment, now clock.Moment) []clock.Moment {
 	var kept []clock.Moment
 	for _, moment := range moments {
@@ -181,23 +183,23 @@
 	return kept
 }
 
-// runRequests runs requests one after another, of which those on the first failing targets runRequests, and returns how many did.
+// runRequests runs requests one after another. Those on the first failing targets fail; it returns their number.
 func runRequests(t *testing.T, dispatcher *Dispatcher, manual *clock.Manual, requests, failing int) int {
 	failed := 0
 	for range requests {
 		manual.Advance(1)
 		dispatcher.ReleaseExpiredPenalties()
-		place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: manual.Now().Add(clock.Second)})
+		permit, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: manual.Now().Add(clock.Second)})
 		require.NoError(t, err)
 		var number int
-		_, err = fmt.Sscan(string(place.Target.Name), &number)
+		_, err = fmt.Sscan(string(permit.Target.Name), &number)
 		require.NoError(t, err)
 		if number < failing {
 			failed++
-			place.Release(Failed)
+			permit.Release(Failed)
 			continue
 		}
-		place.Release(Succeeded)
+		permit.Release(Succeeded)
 	}
 	return failed
 }
@@ -215,41 +217,41 @@
 	return dispatcher
 }
 
-// A backend server fails fast. With nothing in flight it looks like the best choice, and without a penalty it would
-// draw its even share or more; callers would see a tenth of all requests fail while good servers idle.
+// A backend server fails fast. With nothing in flight it looks like the best choice, and without a penalty it would get its
+// even share of requests or more; a tenth of all requests would fail while healthy servers are idle.
 func TestFastFailingTargetGetsFewRequests(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := newTenTargets(manual)
 	failed := runRequests(t, dispatcher, manual, 10000, 1)
 	require.Less(t, failed, 100)
-	require.Positive(t, failed, "it is tried again now and then")
-	require.Zero(t, runRequests(t, dispatcher, manual, 10000, 0), "it is well again")
+	require.Positive(t, failed, "the failing target is still tried occasionally")
+	require.Zero(t, runRequests(t, dispatcher, manual, 10000, 0), "the target has recovered")
 	states, _ := dispatcher.State()
 	for _, state := range states {
-		require.Zero(t, state.Failures, "%s has been tried and taken back", state.Name)
+		require.Zero(t, state.Failures, "%s has been tried and is back in use", state.Name)
 	}
 }
 
-// Most backend servers fail at once, from a cause that lies elsewhere. Were all of them set aside, the few that are left
-// would get the whole load and topple; half of all places stay in use.
+// Most backend servers fail at once, from an external cause. If all of them were throttled, the few remaining servers would get
+// the whole load and be overloaded. At least half of all permits stay in use.
 func TestMostTargetsFailing(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := newTenTargets(manual)
 	runRequests(t, dispatcher, manual, 10000, 9)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	taken := 0
+	acquired := 0
 	for {
-		if _, err := dispatcher.Acquire(gone, PermitRequest{Deadline: manual.Now().Add(clock.Second)}); err != nil {
+		if _, err := dispatcher.Acquire(cancelled, PermitRequest{Deadline: manual.Now().Add(clock.Second)}); err != nil {
 			break
 		}
-		taken++
+		acquired++
 	}
-	require.GreaterOrEqual(t, taken, 30)
+	require.GreaterOrEqual(t, acquired, 30)
 }
 
-// While all places are taken, requests wait and are served by urgency; each wait ends by a place, its limit, its
-// deadline or its caller, whichever comes first.
+// While all permits are in use, requests wait and are served by priority. Each wait ends with a permit, or at the maximum wait,
+// the deadline or the caller's cancellation, whichever comes first.
 func TestWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(Options{
@@ -259,71 +261,71 @@
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 		dispatcher.SetLimit("a", TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}, 0)
 		now := dispatcher.clock.Now
-		held, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
+		first, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
 		require.NoError(t, err)
 
 		ended := make(chan string, 8)
-		begin := func(name string, priority settings.Priority, deadline clock.Milliseconds, ctx context.Context) {
+		acquire := func(name string, priority settings.Priority, deadline clock.Milliseconds, ctx context.Context) {
 			go func() {
-				place, err := dispatcher.Acquire(ctx, PermitRequest{Priority: priority, Deadline: now().Add(deadline)})
+				permit, err := dispatcher.Acquire(ctx, PermitRequest{Priority: priority, Deadline: now().Add(deadline)})
 				if err != nil {
 					ended <- name + ": " + err.Error()
 					return
 				}
 				ended <- name
-				place.Release(Succeeded)
+				permit.Release(Succeeded)
 			}()
 			synctest.Wait()
 		}
-		leaving, leave := context.WithCancel(context.Background())
-		begin("browse", 2, clock.Minute, context.Background())
-		begin("payment", 0, clock.Minute, context.Background())
-		begin("hurried", 1, 100, context.Background())
-		begin("gone", 0, clock.Minute, leaving)
-		leave()
+		cancelContext, cancel := context.WithCancel(context.Background())
+		acquire("browse", 2, clock.Minute, context.Background())
+		acquire("payment", 0, clock.Minute, context.Background())
+		acquire("hurried", 1, 100, context.Background())
+		acquire("gone", 0, clock.Minute, cancelContext)
+		cancel()
 		require.Equal(t, "gone: context canceled", <-ended)
 		require.Equal(t, "hurried: "+ErrDeadline.Error(), <-ended)
-		held.Release(Succeeded)
+		first.Release(Succeeded)
 		require.Equal(t, "payment", <-ended)
 		require.Equal(t, "browse", <-ended)
 
-		held, err = dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
+		first, err = dispatcher.Acquire(context.Background(), PermitRequest{Deadline: now().Add(clock.Minute)})
 		require.NoError(t, err)
-		begin("late", 2, clock.Minute, context.Background())
+		acquire("late", 2, clock.Minute, context.Background())
 		require.Equal(t, "late: "+ErrQueueWait.Error(), <-ended)
-		begin("orphan", 2, clock.Minute, context.Background())
+		acquire("orphan", 2, clock.Minute, context.Background())
 		dispatcher.Remove("a")
 		require.Equal(t, "orphan: "+ErrNoTarget.Error(), <-ended)
-		held.Release(Succeeded)
+		first.Release(Succeeded)
 		_, err = dispatcher.Acquire(context.Background(), PermitRequest{})
 		require.ErrorIs(t, err, ErrNoTarget)
 	})
 }
 
-// A backend server is taken out and comes back while requests are still in flight on it. It is cold now and bears one;
-// those still in flight count, or it would be given one too many.
+// A backend server is removed and added again while requests are still in flight on it. It is cold now and its limit is one.
+// The requests in flight must be counted, or it would get one request too many.
 func TestReturningTargetKeepsItsCount(t *testing.T) {
 	manual := clock.NewManual()
 	dispatcher := NewDispatcher(Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1)), Limits: Limits{QueueLength: 1, QueueWait: 1}})
 	limit := TargetLimit{Limit: 1, MaxOwnInFlight: 1}
 	dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 	dispatcher.SetLimit("a", limit, 0)
-	place, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: 1000})
+	permit, err := dispatcher.Acquire(context.Background(), PermitRequest{Deadline: 1000})
 	require.NoError(t, err)
 	dispatcher.Remove("a")
 	dispatcher.Add("a", "127.0.0.1:2", "sofia-1")
 	dispatcher.SetLimit("a", limit, 0)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = dispatcher.Acquire(gone, PermitRequest{Deadline: 1000})
+	_, err = dispatcher.Acquire(cancelled, PermitRequest{Deadline: 1000})
 	require.Error(t, err)
-	place.Release(Succeeded)
-	again, err := dispatcher.Acquire(gone, PermitRequest{Deadline: 1000})
+	permit.Release(Succeeded)
+	again, err := dispatcher.Acquire(cancelled, PermitRequest{Deadline: 1000})
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:2", again.Target.Address)
 }
 
-// Retries are a share of live requests, however many fail.
+// Retries are limited to a share of the live requests, however many fail.
 func TestRetryBudget(t *testing.T) {
 	budget := NewRetryBudget(0.1)
 	spent := 0
@@ -333,10 +335,10 @@
 			spent++
 		}
 	}
-	require.InDelta(t, 110, spent, 1, "a tenth of the requests, and the ten saved up at first")
+	require.InDelta(t, 110, spent, 1, "a tenth of the requests, and the initial balance of ten")
 }
 
-// The limit of a server that warms up only grows, from its first places to all its slots.
+// The limit of a server that warms up only grows, from its initial limit to all its slots.
 func TestWarmup(t *testing.T) {
 	warmup := Warmup{InitialLimit: 1, FullLimit: 6, RampDuration: 10 * clock.Second}
 	require.Equal(t, 1, warmup.LimitAt(-1))
--- a/internal/service/overload_test.go
+++ b/internal/service/overload_test.go
@@ -15,13 +15,13 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// priorityOutcomes is what became of the requests of one priority.
+// priorityOutcomes counts the outcomes of the requests of one priority.
 type priorityOutcomes struct {
 	sent, served, refusedImmediately, refusedLate int
 	maxWait                                       time.Duration
 }
 
-// overloadRun sends requests at fixed intervals and counts what becomes of them.
+// overloadRun sends requests at fixed intervals and counts their outcomes.
 type overloadRun struct {
 	dispatcher  *Dispatcher
 	serviceTime time.Duration
@@ -30,7 +30,7 @@
 	requests    sync.WaitGroup
 }
 
-// send sends for a length of time; each fourth request is a payment.
+// send sends a request every interval for the given time; every fourth request is a payment.
 func (run *overloadRun) send(length, every time.Duration) {
 	start := time.Now()
 	for number := 0; time.Since(start) < length; number++ {
@@ -44,39 +44,40 @@
 }
 
 func (run *overloadRun) request(priority settings.Priority) {
-	begun := time.Now()
-	place, err := run.dispatcher.Acquire(context.Background(), PermitRequest{Priority: priority, Deadline: run.dispatcher.clock.Now().Add(2 * clock.Second)})
-	waited := time.Since(begun)
+	started := time.Now()
+	permit, err := run.dispatcher.Acquire(context.Background(), PermitRequest{Priority: priority, Deadline: run.dispatcher.clock.Now().Add(2 * clock.Second)})
+	waited := time.Since(started)
 	if err == nil {
 		time.Sleep(run.serviceTime)
-		place.Release(Succeeded)
+		permit.Release(Succeeded)
 	}
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	counted := run.outcomes[priority]
-	counted.sent++
+	outcomes := run.outcomes[priority]
+	outcomes.sent++
 	switch {
 	case err == nil:
-		counted.served++
-		counted.maxWait = max(counted.maxWait, waited)
+		outcomes.served++
+		outcomes.maxWait = max(outcomes.maxWait, waited)
 	case waited <= 5*time.Millisecond:
-		counted.refusedImmediately++
+		outcomes.refusedImmediately++
 	default:
-		counted.refusedLate++
+		outcomes.refusedLate++
 	}
 }
 
+// resetOutcomes returns the outcomes since the last call and starts counting from zero.
 func (run *overloadRun) resetOutcomes() map[settings.Priority]*priorityOutcomes {
 	run.mutex.Lock()
 	defer run.mutex.Unlock()
-	counted := run.outcomes
+	outcomes := run.outcomes
 	run.outcomes = map[settings.Priority]*priorityOutcomes{0: {}, 2: {}}
-	return counted
+	return outcomes
 }
 
-// A service runs long exports and short lookups, so that a place is taken for far longer than a lookup may take in all.
-// Nothing waits before the lookup and a place may be free any moment; judged by the time an average request takes, it
-// would be refused whenever all places are taken.
+// A service runs long exports and short lookups, so that a permit is in use for far longer than a lookup may take in total. No
+// request waits ahead of the lookup and a permit may be released at any moment. If the expected wait were the mean duration of
+// a request, the lookup would be refused whenever all permits are in use.
 func TestShortRequestBesideLongOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dispatcher := NewDispatcher(Options{
@@ -84,24 +85,24 @@
 		})
 		dispatcher.Add("a", "127.0.0.1:1", "sofia-1")
 		dispatcher.SetLimit("a", TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}, 0)
-		demand := func() PermitRequest { return PermitRequest{Deadline: dispatcher.clock.Now().Add(5 * clock.Second)} }
+		newRequest := func() PermitRequest { return PermitRequest{Deadline: dispatcher.clock.Now().Add(5 * clock.Second)} }
 		for range 20 {
-			place, err := dispatcher.Acquire(context.Background(), demand())
+			permit, err := dispatcher.Acquire(context.Background(), newRequest())
 			require.NoError(t, err)
 			time.Sleep(time.Minute)
-			place.Release(Succeeded)
+			permit.Release(Succeeded)
 		}
-		long, err := dispatcher.Acquire(context.Background(), demand())
+		long, err := dispatcher.Acquire(context.Background(), newRequest())
 		require.NoError(t, err)
 		time.AfterFunc(time.Second, func() { long.Release(Succeeded) })
-		_, err = dispatcher.Acquire(context.Background(), demand())
+		_, err = dispatcher.Acquire(context.Background(), newRequest())
 		require.NoError(t, err)
 	})
 }
 
-// Twice as many requests come as all backend servers can run. Every slot stays busy, payments go first, and what can't
-// be served is refused when it comes; were it all let in, each request would wait its whole limit and most would be
-// refused late, and after the load has fallen the queue would still be served to callers who have gone.
+// Twice as many requests arrive as all backend servers can run. Every slot stays busy, payments are served first, and requests
+// that cannot be served are refused on arrival. If all were admitted, each request would wait for its maximum time, most would
+// be refused late, and after the load has fallen the queue would still be served to callers that have left.
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		run := &overloadRun{serviceTime: 10 * time.Millisecond}
@@ -121,7 +122,7 @@
 		run.send(3*time.Second, time.Second/(2*capacityPerSecond))
 		during := run.resetOutcomes()
 		payments, browses := during[0], during[2]
-		require.Equal(t, payments.sent, payments.served, "payments go first")
+		require.Equal(t, payments.sent, payments.served, "payments are served first")
 		require.Less(t, payments.maxWait, 30*time.Millisecond)
 		require.GreaterOrEqual(t, payments.served+browses.served, 3*capacityPerSecond*9/10)
 		require.Greater(t, browses.refusedImmediately, 100)
@@ -133,6 +134,6 @@
 		run.requests.Wait()
 		after := run.resetOutcomes()
 		require.Equal(t, after[2].sent, after[2].served)
-		require.Less(t, after[2].maxWait, 10*time.Millisecond, "a second later nothing is left of it")
+		require.Less(t, after[2].maxWait, 10*time.Millisecond, "the queue is empty a second after the overload")
 	})
 }
