--- a/internal/routing/entry.go
+++ b/internal/routing/entry.go
@@ -7,31 +7,32 @@
 	"sync"
 )
 
-// Entry is a route by host and path prefix, whose requests go to one service or are split among several.
+// Entry is a route by host and path prefix. Its requests go to one service or are split among several.
 type Entry struct {
 	Host string
-	// Prefix begins and ends with a slash; the longest one that begins a path wins.
+	// Prefix begins and ends with a slash. The longest matching prefix takes precedence.
 	Prefix string
 	Class  *Class
-	// Public says that requests need no API key.
+	// Public is true if requests need no API key.
 	Public bool
-	// Services is empty when it is not known where the requests belong.
+	// Services are the services of the entry. It is empty when the configuration does not resolve to a service.
 	Services []WeightedService
 
 	mutex sync.Mutex
 }
 
-// WeightedService is a service's part of an entry's requests.
+// WeightedService is a service with its share of an entry's requests.
 type WeightedService struct {
 	Service *Service
 	Weight  int
 
-	// credit is how far the part lags behind its share.
-	credit int
+	// currentWeight is the current weight of smooth weighted round robin: how far the service is behind its share.
+	currentWeight int
 }
 
-// next picks the part whose turn it is. Each part gets its share over any short span, which chance would not give: of
-// 100 requests, a part of 10 in 100 would get fewer than 5 or more than 15 once in ten spans.
+// next chooses a service by smooth weighted round robin. Each service gets its share over any short sequence of requests, which
+// a random choice does not give: of 100 requests, a service with 10 % of the weight would get fewer than 5 or more than 15 in
+// one of ten sequences.
 func (entry *Entry) next() *Service {
 	if len(entry.Services) == 1 {
 		return entry.Services[0].Service
@@ -41,32 +42,33 @@
 	total := 0
 	best := &entry.Services[0]
 	for index := range entry.Services {
-		part := &entry.Services[index]
-		part.credit += part.Weight
-		total += part.Weight
-		if part.credit > best.credit {
-			best = part
+		weighted := &entry.Services[index]
+		weighted.currentWeight += weighted.Weight
+		total += weighted.Weight
+		if weighted.currentWeight > best.currentWeight {
+			best = weighted
 		}
 	}
-	best.credit -= total
+	best.currentWeight -= total
 	return best.Service
 }
 
+// entriesByHost groups entries by host name, with the longest prefix first.
 func entriesByHost(entries []*Entry) map[string][]*Entry {
 	byHost := map[string][]*Entry{}
 	for _, entry := range entries {
 		host := hostName(entry.Host)
 		byHost[host] = append(byHost[host], entry)
 	}
-	for _, claimants := range byHost {
-		slices.SortFunc(claimants, func(left, right *Entry) int {
+	for _, hostEntries := range byHost {
+		slices.SortFunc(hostEntries, func(left, right *Entry) int {
 			return cmp.Or(len(right.Prefix)-len(left.Prefix), cmp.Compare(left.Prefix, right.Prefix))
 		})
 	}
 	return byHost
 }
 
-// routeByEntry finds the entry for a request. The error is ErrNoService or ErrNotUnderstood.
+// routeByEntry returns the route of the first entry that matches. The error is ErrNoService or ErrUnresolvedRoute.
 func (table *Table) routeByEntry(host, path string) (Route, error) {
 	for _, entry := range table.entries[hostName(host)] {
 		if strings.HasPrefix(path, entry.Prefix) {
--- a/internal/routing/entry_test.go
+++ b/internal/routing/entry_test.go
@@ -9,8 +9,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// A route is split among services by weight. By chance a small part would get half or twice its share over a hundred
-// requests; operators who send one in ten to a new service would see that as a fault.
+// A route is split among services by weight. With a random choice, a service with a small weight would get half or twice its
+// share of a hundred requests, which operators who send one in ten requests to a new service would consider a fault.
 func TestSplitKeepsItsShares(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -44,7 +44,8 @@
 	}
 }
 
-// The longest prefix that begins a path wins, whatever the order of routes; what no route begins is nobody's.
+// The longest matching prefix takes precedence, regardless of the order of routes. A path without a matching prefix has no
+// service.
 func TestLongestPrefixWins(t *testing.T) {
 	entry := func(prefix string) *Entry {
 		return &Entry{Host: "h", Prefix: prefix, Class: &Class{Name: settings.ClassName(prefix)}, Services: []WeightedService{{Service: &Service{}, Weight: 1}}}
--- a/internal/routing/package.go
+++ b/internal/routing/package.go
@@ -1,8 +1,8 @@
-// Package routing holds the table that traffic goroutines read: which service and class a request belongs to, the
-// Dispatcher of each service, and which instances callers should use.
+// Package routing holds the routing table that request goroutines read: the service and class of a request, the Dispatcher or
+// Scheduler of each service, and the instances that callers should use.
 //
-// A Table never changes once it is published. The control goroutine builds a new one and puts it in place of the old;
-// a request keeps the table it started with.
+// A Table is immutable. The control goroutine builds a new one and replaces the current one with it; a request uses the table
+// with which it started.
 //
 // # Usage
 //
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -8,19 +8,19 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// score is the rendezvous hash of two names: every process that knows the same names orders them alike, and a name that
-// comes or goes changes nothing between the others.
-func score(left, right string) uint64 {
+// rendezvousScore returns the rendezvous hash of two names. Every process that knows the same names orders them alike, and
+// adding or removing a name does not change the order of the others.
+func rendezvousScore(left, right string) uint64 {
 	hash := fnv.New64a()
-	// Writing to a hash never fails.
+	// Write of a hash.Hash never returns an error.
 	_, _ = hash.Write([]byte(left))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(right))
-	return mix(hash.Sum64())
+	return finalize(hash.Sum64())
 }
 
-// mix spreads the bits of a hash whose last bytes would otherwise decide little.
-func mix(value uint64) uint64 {
+// finalize mixes the bits of a hash, since the last bytes of the input otherwise have little influence on the high bits.
+func finalize(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
@@ -29,78 +29,80 @@
 	return value
 }
 
-// ServingInstances chooses the instances to which callers of a service are sent: the first by rendezvous hash, taken so
-// that data centres are used as evenly as can be. Few instances for one service see a large part of its load at first
-// hand, which is what steadies its tail; different data centres keep it served when one is lost.
+// ServingInstances chooses the instances to which callers of a service are sent: the first ones by rendezvous hash, distributed
+// over the data centres as evenly as possible. With few instances for one service, each sees a large part of its load directly,
+// which lowers the tail latency; with different data centres, the service stays available when one is lost.
 func ServingInstances(name settings.ServiceName, instances []Instance, count int) []Instance {
 	ordered := slices.Clone(instances)
 	slices.SortFunc(ordered, func(left, right Instance) int {
 		return cmp.Or(
-			cmp.Compare(score(string(name), string(right.Name)), score(string(name), string(left.Name))),
+			cmp.Compare(rendezvousScore(string(name), string(right.Name)), rendezvousScore(string(name), string(left.Name))),
 			cmp.Compare(left.Name, right.Name),
 		)
 	})
 	used := map[settings.DataCentreName]int{}
 	var chosen []Instance
 	for round := 0; len(chosen) < min(count, len(ordered)); round++ {
-		for _, candidate := range ordered {
-			if used[candidate.DataCentre] != round || len(chosen) == count || slices.Contains(chosen, candidate) {
+		for _, instance := range ordered {
+			if used[instance.DataCentre] != round || len(chosen) == count || slices.Contains(chosen, instance) {
 				continue
 			}
-			used[candidate.DataCentre]++
-			chosen = append(chosen, candidate)
+			used[instance.DataCentre]++
+			chosen = append(chosen, instance)
 		}
 	}
 	return chosen
 }
 
-// Owners chooses, for each of a service's targets, the one serving instance that answers for it: it reads the target's
-// report and starts it when it is cold. Each target takes the instance that comes first for it by rendezvous hash and
-// does not own its even share yet. Without the even share an instance could own none of a few targets, and would have
-// nothing to give its callers while all are cold.
+// Owners chooses the owner of each of a service's targets among the serving instances. The owner reads the target's report and
+// sends the first requests to it when it is cold. Each target is assigned to the first instance by rendezvous hash that does
+// not own its even share yet. Without the even share, an instance might own none of a few targets, and could not serve its
+// callers while all are cold.
 func Owners(targets []settings.TargetName, serving []Instance) map[settings.TargetName]settings.InstanceName {
 	owners := make(map[settings.TargetName]settings.InstanceName, len(targets))
 	if len(serving) == 0 {
 		return owners
 	}
-	shares := evenShares{floor: len(targets) / len(serving), extra: len(targets) % len(serving), owned: map[settings.InstanceName]int{}}
+	ownerShares := ownerShares{floor: len(targets) / len(serving), extra: len(targets) % len(serving), owned: map[settings.InstanceName]int{}}
 	for _, target := range slices.Sorted(slices.Values(targets)) {
-		owner := shares.first(target, serving)
-		shares.take(owner)
+		owner := ownerShares.first(target, serving)
+		ownerShares.assign(owner)
 		owners[target] = owner
 	}
 	return owners
 }
 
-// evenShares counts what each instance owns while targets are given out: floor each, and one more for the first extra
-// instances that are chosen for one.
-type evenShares struct {
+// ownerShares counts the targets that each instance owns during the assignment: floor each, and one more for the first extra
+// instances that are chosen for another.
+type ownerShares struct {
 	floor, extra int
 	owned        map[settings.InstanceName]int
 }
 
-func (evenShares *evenShares) mayTake(name settings.InstanceName) bool {
-	owned := evenShares.owned[name]
-	return owned < evenShares.floor || owned == evenShares.floor && evenShares.extra > 0
+// mayOwnAnother reports whether the instance may own one more target.
+func (ownerShares *ownerShares) mayOwnAnother(name settings.InstanceName) bool {
+	owned := ownerShares.owned[name]
+	return owned < ownerShares.floor || owned == ownerShares.floor && ownerShares.extra > 0
 }
 
-func (evenShares *evenShares) take(name settings.InstanceName) {
-	if evenShares.owned[name] == evenShares.floor {
-		evenShares.extra--
+// assign counts one more target as owned by the instance.
+func (ownerShares *ownerShares) assign(name settings.InstanceName) {
+	if ownerShares.owned[name] == ownerShares.floor {
+		ownerShares.extra--
 	}
-	evenShares.owned[name]++
+	ownerShares.owned[name]++
 }
 
-// first returns the instance that comes first for target by rendezvous hash, among those that may take one more.
-func (evenShares *evenShares) first(target settings.TargetName, serving []Instance) settings.InstanceName {
+// first returns the first instance for target by rendezvous hash among those that may own one more.
+func (ownerShares *ownerShares) first(target settings.TargetName, serving []Instance) settings.InstanceName {
 	var best settings.InstanceName
 	var bestScore uint64
-	for _, candidate := range serving {
-		if !evenShares.mayTake(candidate.Name) {
+	for _, instance := range serving {
+		if !ownerShares.mayOwnAnother(instance.Name) {
 			continue
 		}
-		if own := score(string(target), string(candidate.Name)); best == "" || own > bestScore {
-			best, bestScore = candidate.Name, own
+		if score := rendezvousScore(string(target), string(instance.Name)); best == "" || score > bestScore {
+			best, bestScore = instance.Name, score
 		}
 	}
 	return best
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// instances returns the given number of instances, distributed over three data centres.
 func instances(count int) []Instance {
 	var all []Instance
 	for number := range count {
@@ -57,13 +58,13 @@
 	return all
 }
 
-// Every instance works the choice out by itself; it must not depend on the order of its list, spread over data centres,
-// and move few services when one instance goes.
+// Every instance computes the choice on its own. It must not depend on the order of the list, must be distributed over the data
+// centres, and must move few services when one instance leaves.
 func TestServingInstances(t *testing.T) {
 	all := instances(15)
 	reversed := make([]Instance, len(all))
-	for index, entry := range all {
-		reversed[len(all)-1-index] = entry
+	for index, instance := range all {
+		reversed[len(all)-1-index] = instance
 	}
 	served := map[settings.InstanceName]int{}
 	moved := 0
@@ -73,13 +74,13 @@
 		chosen := ServingInstances(name, all, 3)
 		require.Equal(t, chosen, ServingInstances(name, reversed, 3))
 		dataCentres := map[settings.DataCentreName]bool{}
-		for _, entry := range chosen {
-			served[entry.Name]++
-			dataCentres[entry.DataCentre] = true
+		for _, instance := range chosen {
+			served[instance.Name]++
+			dataCentres[instance.DataCentre] = true
 		}
 		require.Len(t, dataCentres, 3)
-		for _, entry := range ServingInstances(name, all[1:], 3) {
-			if entry != chosen[0] && entry != chosen[1] && entry != chosen[2] {
+		for _, instance := range ServingInstances(name, all[1:], 3) {
+			if instance != chosen[0] && instance != chosen[1] && instance != chosen[2] {
 				moved++
 			}
 		}
@@ -87,12 +88,12 @@
 	for name, count := range served {
 		require.InDelta(t, services*3/15, count, 40, name)
 	}
-	require.Equal(t, served["entry-0"], moved, "only what the lost instance served moves")
+	require.Equal(t, served["entry-0"], moved, "only the services of the lost instance move")
 	require.Len(t, ServingInstances("a", all[:2], 3), 2)
 	require.Empty(t, ServingInstances("a", nil, 3))
 }
 
-// However few targets there are, each serving instance owns its even share of them.
+// Each serving instance owns an even share of the targets, however few there are.
 func TestOwnersAreEven(t *testing.T) {
 	for count := range 40 {
 		var targets []settings.TargetName
@@ -105,9 +106,9 @@
 		for _, owner := range owners {
 			owned[owner]++
 		}
-		for _, entry := range instances(3) {
-			require.GreaterOrEqual(t, owned[entry.Name], count/3)
-			require.LessOrEqual(t, owned[entry.Name], (count+2)/3)
+		for _, instance := range instances(3) {
+			require.GreaterOrEqual(t, owned[instance.Name], count/3)
+			require.LessOrEqual(t, owned[instance.Name], (count+2)/3)
 		}
 	}
 	require.Empty(t, Owners([]settings.TargetName{"a"}, nil))
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -16,30 +16,31 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Reasons for which a request belongs to no class.
+// Errors of Table.Route.
 var (
-	// ErrNoService says that no service claims the host and path.
-	ErrNoService = errors.New("no service claims this host and path")
-	// ErrUnresolvedRoute says that a route claims the host and path, but not understandably for whom.
-	ErrUnresolvedRoute = errors.New("it is not known to which service the route's requests belong")
-	// ErrNoClass says that the service has no class for the method and path.
+	// ErrNoService is returned when no service is configured for the host and path.
+	ErrNoService = errors.New("no service is configured for this host and path")
+	// ErrUnresolvedRoute is returned when a route matches the host and path, but its configuration does not resolve to a
+	// service.
+	ErrUnresolvedRoute = errors.New("the route does not resolve to a service")
+	// ErrNoClass is returned when the service has no class for the method and path.
 	ErrNoClass = errors.New("the service has no class for this method and path")
 )
 
-// Instance is an entry instance that callers may be sent to.
+// Instance is an entry instance to which callers may be sent.
 type Instance struct {
 	Name       settings.InstanceName
 	Address    string
 	DataCentre settings.DataCentreName
 }
 
-// Service is a service as traffic sees it.
+// Service holds what request processing needs of a service.
 type Service struct {
 	Name       settings.ServiceName
 	Settings   *settings.Service
 	Dispatcher *service.Dispatcher
 	Budget     *service.RetryBudget
-	// Scheduler gives out places in place of Dispatcher where targets tell how slow they are.
+	// Scheduler grants permits instead of Dispatcher if the targets report their slowdown.
 	Scheduler *service.Scheduler
 	// Serving are the instances that callers of the service are told to use.
 	Serving []Instance
@@ -47,77 +48,78 @@
 	rules []rule
 }
 
-// Acquire waits for a place on one of the service's targets.
-func (entry *Service) Acquire(ctx context.Context, demand service.PermitRequest) (service.Permit, error) {
-	if entry.Scheduler != nil {
-		return entry.Scheduler.Take(ctx, demand)
+// Acquire waits for a permit for one of the service's targets. The error is that of the Scheduler or the Dispatcher.
+func (service *Service) Acquire(ctx context.Context, request service.PermitRequest) (service.Permit, error) {
+	if service.Scheduler != nil {
+		return service.Scheduler.Take(ctx, request)
 	}
-	return entry.Dispatcher.Acquire(ctx, demand)
+	return service.Dispatcher.Acquire(ctx, request)
 }
 
-// RetryAfter is when a caller may return whose request was refused by backend servers.
-func (entry *Service) RetryAfter() clock.Milliseconds {
-	if entry.Scheduler != nil {
-		return entry.Scheduler.RetryAfter()
+// RetryAfter returns the time after which a request that backend servers refused may be retried.
+func (service *Service) RetryAfter() clock.Milliseconds {
+	if service.Scheduler != nil {
+		return service.Scheduler.RetryAfter()
 	}
-	return entry.Settings.Queue.RetryAfter
+	return service.Settings.Queue.RetryAfter
 }
 
-// SoftDeadline returns the moment until which an answer is worth most to a caller that has the given time left.
-func (entry *Service) SoftDeadline(class settings.ClassName, now clock.Moment, aim, left clock.Milliseconds) clock.Moment {
-	if entry.Scheduler != nil {
-		return entry.Scheduler.Aim(class, now, aim, left)
+// SoftDeadline returns the moment until which an answer has its full value to a caller with the given remaining time.
+func (service *Service) SoftDeadline(class settings.ClassName, now clock.Moment, softDeadline, remaining clock.Milliseconds) clock.Moment {
+	if service.Scheduler != nil {
+		return service.Scheduler.Aim(class, now, softDeadline, remaining)
 	}
-	return now.Add(aim)
+	return now.Add(softDeadline)
 }
 
-// Class is a class as traffic sees it.
+// Class holds what request processing needs of a class.
 type Class struct {
 	Name     settings.ClassName
 	Settings settings.Class
 	Metrics  *metrics.Class
 }
 
-// rule sends a method below a path to a class.
+// rule assigns requests with a method and a path prefix to a class.
 type rule struct {
 	method string
 	prefix string
 	class  *Class
 }
 
-// Route is where a request belongs.
+// Route is the service and class of a request.
 type Route struct {
 	Service *Service
 	Class   *Class
-	// Public says that the request needs no API key.
+	// Public is true if the request needs no API key.
 	Public bool
 }
 
-// Table is an immutable view of everything that traffic needs.
+// Table is an immutable snapshot of the configuration that request processing needs.
 type Table struct {
 	Site *settings.Site
-	// Leaving says that this instance is on its way out.
+	// Leaving is true while this instance is leaving the fleet.
 	Leaving bool
-	// Teams finds teams by API key; nil when requests need none.
+	// Teams finds teams by API key; nil when requests need no key.
 	Teams    *team.Directory
 	services map[settings.ServiceName]*Service
 	hosts    map[string][]*Service
 	entries  map[string][]*Entry
 }
 
-// Options are what a Table is made from.
+// Options are the parameters of NewTable.
 type Options struct {
 	Site    *settings.Site
 	Leaving bool
 	// Teams is nil when requests need no API key.
 	Teams    *team.Directory
 	Services []*Service
-	// Entries are routes by host and path alone. Where there are any, they go before what services claim.
+	// Entries are routes by host and path alone. If there are any, only these are used, and the hosts and paths of services are
+	// ignored.
 	Entries  []*Entry
 	Registry *metrics.Registry
 }
 
-// NewTable builds a table. The services' rules are filled in here.
+// NewTable builds a table, including the rules of the services in options.
 func NewTable(options Options) *Table {
 	table := &Table{
 		Site:     options.Site,
@@ -127,15 +129,15 @@
 		hosts:    map[string][]*Service{},
 		entries:  entriesByHost(options.Entries),
 	}
-	for _, entry := range options.Services {
-		entry.rules = rulesOf(entry, options)
-		table.services[entry.Name] = entry
-		for _, host := range entry.Settings.Hosts {
-			table.hosts[host] = append(table.hosts[host], entry)
+	for _, service := range options.Services {
+		service.rules = rulesOf(service, options)
+		table.services[service.Name] = service
+		for _, host := range service.Settings.Hosts {
+			table.hosts[host] = append(table.hosts[host], service)
 		}
 	}
-	for _, claimants := range table.hosts {
-		slices.SortFunc(claimants, func(left, right *Service) int {
+	for _, hostServices := range table.hosts {
+		slices.SortFunc(hostServices, func(left, right *Service) int {
 			return cmp.Or(
 				len(right.Settings.PathPrefix)-len(left.Settings.PathPrefix),
 				cmp.Compare(left.Name, right.Name),
@@ -145,14 +147,14 @@
 	return table
 }
 
-// rulesOf lists a service's rules, longest path first.
-func rulesOf(entry *Service, options Options) []rule {
+// rulesOf returns a service's rules, with the longest path first.
+func rulesOf(service *Service, options Options) []rule {
 	var rules []rule
-	for name, classSettings := range entry.Settings.Classes {
+	for name, classSettings := range service.Settings.Classes {
 		class := &Class{
 			Name:     name,
 			Settings: classSettings,
-			Metrics:  options.Registry.Class(metrics.ClassKey{Tenant: options.Site.Tenant, Service: entry.Name, Class: name}),
+			Metrics:  options.Registry.Class(metrics.ClassKey{Tenant: options.Site.Tenant, Service: service.Name, Class: name}),
 		}
 		for _, method := range classSettings.Methods {
 			for _, prefix := range classSettings.Paths {
@@ -172,36 +174,36 @@
 	return found, known
 }
 
-// Services returns every service, by name.
+// Services returns all services, ordered by name.
 func (table *Table) Services() []*Service {
 	services := make([]*Service, 0, len(table.services))
-	for _, entry := range table.services {
-		services = append(services, entry)
+	for _, service := range table.services {
+		services = append(services, service)
 	}
 	slices.SortFunc(services, func(left, right *Service) int { return cmp.Compare(left.Name, right.Name) })
 	return services
 }
 
-// Route finds where a request belongs. The error is ErrNoService, ErrNotUnderstood or ErrNoClass.
+// Route returns the route of a request. The error is ErrNoService, ErrUnresolvedRoute or ErrNoClass.
 func (table *Table) Route(host, method, path string) (Route, error) {
 	if len(table.entries) > 0 {
 		return table.routeByEntry(host, path)
 	}
-	for _, candidate := range table.hosts[hostName(host)] {
-		if !below(path, candidate.Settings.PathPrefix) {
+	for _, service := range table.hosts[hostName(host)] {
+		if !hasPathPrefix(path, service.Settings.PathPrefix) {
 			continue
 		}
-		for _, rule := range candidate.rules {
-			if rule.method == method && below(path, rule.prefix) {
-				return Route{Service: candidate, Class: rule.class}, nil
+		for _, rule := range service.rules {
+			if rule.method == method && hasPathPrefix(path, rule.prefix) {
+				return Route{Service: service, Class: rule.class}, nil
 			}
 		}
-		return Route{Service: candidate}, ErrNoClass
+		return Route{Service: service}, ErrNoClass
 	}
 	return Route{}, ErrNoService
 }
 
-// hostName takes the port off and folds case.
+// hostName removes the port and a trailing dot, and converts the host to lower case.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -209,8 +211,8 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// below reports whether path is prefix or lies under it. "/pay" does not contain "/payments".
-func below(path, prefix string) bool {
+// hasPathPrefix reports whether path is equal to prefix or below it. "/payments" is not below "/pay".
+func hasPathPrefix(path, prefix string) bool {
 	rest, found := strings.CutPrefix(path, prefix)
 	if !found {
 		return false
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -52,8 +52,9 @@
 	return waiter
 }
 
-// enqueue adds a request to the queue. A request that is not expected to be served in time is refused immediately: its caller
-// can retry when permits are free, and the request does not delay others that can still be served.
+// enqueue adds a request to the queue, with a late rank if it is not expected to start before its start deadline. A late request
+// that is not expected to start before its wait deadline is refused immediately: its caller can retry when permits are free, and
+// the request does not delay others that can still be served.
 func (scheduler *Scheduler) enqueue(now clock.Moment, waiter *rankedWaiter) error {
 	if !waiter.late() && now.Add(scheduler.expectedWait(now, waiter.rank)) > waiter.startDeadline {
 		waiter.rank = rankOf(waiter.request, true)
--- a/internal/team/team.go
+++ b/internal/team/team.go
@@ -1,5 +1,5 @@
-// Package team knows the teams whose callers a fleet serves: by which API keys their requests are known, how urgent they are and how many
-// they may send. It is pure and holds no key, only digests of keys.
+// Package team holds the teams whose callers a fleet serves, with their API keys, priorities and rate limits. It does no I/O and stores
+// only digests of keys, no keys.
 //
 // # Usage
 //
@@ -16,10 +16,11 @@
 // Name is a team's name.
 type Name string
 
-// digestBytes is the part of a SHA-256 sum that is kept: finding another key with the same digest takes 2^128 tries.
+// digestBytes is the length of the stored prefix of a SHA-256 sum. Finding another key with the same digest takes 2^128
+// attempts.
 const digestBytes = 16
 
-// KeyDigest stands for an API key wherever it is kept, compared or told to another instance.
+// KeyDigest represents an API key wherever it is stored, compared or sent to another instance.
 type KeyDigest [digestBytes]byte
 
 // DigestOf returns the digest of a key.
@@ -28,19 +29,19 @@
 	return KeyDigest(sum[:digestBytes])
 }
 
-// NoPriority is the priority of a team that has none of its own.
+// NoPriority is the priority of a team without a configured one.
 const NoPriority settings.Priority = -1
 
-// Team is what operators say of one team.
+// Team is the configuration of one team.
 type Team struct {
 	_ struct{} `cbor:",toarray"`
 
 	Name Name
 	Keys []KeyDigest
-	// Priority goes before that of a route; NoPriority when the team has none.
+	// Priority takes precedence over that of a route; NoPriority when the team has none.
 	Priority settings.Priority
-	// Rate is the number of requests a second that the fleet runs for the team, 0 when there is no limit, and Burst how many may come at once
-	// beyond it.
+	// Rate is the number of requests per second that the fleet runs for the team, 0 for no limit. Burst is the number of
+	// requests that may exceed Rate at once.
 	Rate  float64
 	Burst float64
 }
@@ -50,12 +51,12 @@
 	return team.Rate > 0
 }
 
-// Directory finds teams by key. It is immutable, so it is safe for concurrent use.
+// Directory finds teams by key. It is immutable and therefore safe for concurrent use.
 type Directory struct {
 	byKey map[KeyDigest]*Team
 }
 
-// NewDirectory returns the directory of the given teams. A key that two teams hold belongs to the first.
+// NewDirectory returns the directory of the given teams. A key that is listed for two teams belongs to the first.
 func NewDirectory(teams []Team) *Directory {
 	directory := &Directory{byKey: make(map[KeyDigest]*Team, len(teams))}
 	for index := range teams {
@@ -68,21 +69,21 @@
 	return directory
 }
 
-// Find returns the team that holds the key.
+// Find returns the team of the key with the given digest, and whether there is one.
 func (directory *Directory) Find(digest KeyDigest) (*Team, bool) {
 	found, known := directory.byKey[digest]
 	return found, known
 }
 
-// KeySetStatus tells what the set of API keys is worth that an instance has.
+// KeySetStatus states how far an instance can rely on its set of API keys.
 type KeySetStatus int32
 
-// The standings of a set of keys.
+// The statuses of a key set.
 const (
-	// KeysCurrent says that a key that is not in the set is in no configuration.
+	// KeysCurrent means that the set is that of the current configuration: a key that is not in it is invalid.
 	KeysCurrent KeySetStatus = iota
-	// KeysUnverified says that there may be a newer configuration.
+	// KeysUnverified means that a newer configuration may exist, so that an unknown key may be valid.
 	KeysUnverified
-	// KeysStale says that keys may have been revoked so long ago that none may be used.
+	// KeysStale means that the set is so old that any of its keys may have been revoked. No key may be accepted.
 	KeysStale
 )
--- a/internal/team/team_test.go
+++ b/internal/team/team_test.go
@@ -18,7 +18,7 @@
 		team      Name
 	}{
 		{"a key", "k2", "strings"},
-		{"a key that two teams hold", "k1", "strings"},
+		{"a key of two teams", "k1", "strings"},
 		{"a key of the second team", "k3", "brass"},
 		{"an unknown key", "k4", ""},
 		{"no key", "", ""},
@@ -35,7 +35,7 @@
 	}
 }
 
-// benchmarkKeys are the sizes at which finding a key is measured.
+// benchmarkKeys are the numbers of keys for which BenchmarkFind measures a look-up.
 var benchmarkKeys = []int{100, 100_000}
 
 func BenchmarkFind(b *testing.B) {
@@ -50,7 +50,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, known := directory.Find(DigestOf(key)); !known {
-					b.Fatal("the key is not found")
+					b.Fatal("key not found")
 				}
 			}
 		})
