--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -38,13 +38,13 @@
 }
 
 func (referenceModel *referenceModel) totalLimit() int {
-	capacity := 0
+	totalLimit := 0
 	for _, target := range referenceModel.targets {
 		if target.present {
-			capacity += target.limit.Limit
+			totalLimit += target.limit.Limit
 		}
 	}
-	return capacity
+	return totalLimit
 }
 
 // utilization returns the share of permits in use, and whether the target accepts another request.
--- a/internal/service/overload_test.go
+++ b/internal/service/overload_test.go
@@ -30,16 +30,16 @@
 	requests    sync.WaitGroup
 }
 
-// send sends a request every interval for the given time; every fourth request is a payment.
-func (run *overloadRun) send(length, every time.Duration) {
+// send sends a request per interval for the given duration. Every fourth request is a payment.
+func (run *overloadRun) send(duration, interval time.Duration) {
 	start := time.Now()
-	for number := 0; time.Since(start) < length; number++ {
+	for number := 0; time.Since(start) < duration; number++ {
 		priority := settings.Priority(2)
 		if number%4 == 0 {
 			priority = 0
 		}
 		run.requests.Go(func() { run.request(priority) })
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
