--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -13,7 +13,7 @@
 
 // attempt is the result of sending the request to one backend server.
 type attempt struct {
-	permit   service.Place
+	permit   service.Permit
 	exchange *backendserver.Exchange
 	// buffered is the part of the response body that has been read but not forwarded.
 	buffered []byte
@@ -47,15 +47,15 @@
 
 // send sends the request once to the permit's backend server and evaluates the result. It does not modify the call, so
 // that two sends may run concurrently. It releases the permit unless there is a response to forward.
-func (call *call) send(ctx context.Context, permit service.Place, request *http.Request) attempt {
+func (call *call) send(ctx context.Context, permit service.Permit, request *http.Request) attempt {
 	target := permit.Target
 	freshOnly := !call.route.Class.Settings.Idempotent
 	before := call.now()
 	exchange, err := call.handler.options.Servers.Send(ctx, target.Name, request, freshOnly)
 	attempt := attempt{permit: permit, exchange: exchange, err: err, connected: !isConnectError(err)}
 	attempt.trace = trace.Attempt{
-		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Listed, Taken: permit.Taken, Waited: permit.Waited,
-		Slowdown: permit.Reading.Slowdown, ReadingAge: max(permit.LoadReadingAge(before), 0),
+		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Considered, Taken: permit.InFlight, Waited: permit.QueueTime,
+		Slowdown: permit.LoadReading.Slowdown, ReadingAge: max(permit.LoadReadingAge(before), 0),
 	}
 	if err == nil {
 		call.handleResponse(&attempt)
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -37,7 +37,7 @@
 	queueTime    clock.Milliseconds
 	attemptTime  clock.Milliseconds
 	// permit is the permit held now; its Target is nil if none is held.
-	permit service.Place
+	permit service.Permit
 	// mustClose means that the caller's connection is closed after this request.
 	mustClose bool
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	defer call.body.expireOnDone(ctx)()
-	call.route.Service.Budget.Earn()
+	call.route.Service.Budget.Deposit()
 	call.forward(ctx)
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	permit := call.permit
-	call.permit = service.Place{}
+	call.permit = service.Permit{}
 	permit.Release(result)
 }
 
@@ -110,7 +110,7 @@
 	switch {
 	case errors.Is(err, routing.ErrNoService):
 		return newRejection(http.StatusNotFound, outcome.ReasonNoService, err)
-	case errors.Is(err, routing.ErrNotUnderstood):
+	case errors.Is(err, routing.ErrUnresolvedRoute):
 		return &errorResponse{status: http.StatusServiceUnavailable, reason: outcome.ReasonNoSettings, retryAfter: clock.Second, cause: err}
 	case err != nil:
 		return newRejection(http.StatusMethodNotAllowed, outcome.ReasonNoService, err)
@@ -126,7 +126,7 @@
 	call.deadline = call.started.Add(min(timeout, route.Class.Settings.Timeout))
 	call.softDeadline = call.deadline
 	if softTimeout := route.Class.Settings.Aim; softTimeout > 0 {
-		call.softDeadline = min(route.Service.Aim(route.Class.Name, call.started, softTimeout, timeout), call.deadline)
+		call.softDeadline = min(route.Service.SoftDeadline(route.Class.Name, call.started, softTimeout, timeout), call.deadline)
 	}
 	if errorResponse := call.applyDrainDeadline(); errorResponse != nil {
 		return errorResponse
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -74,11 +74,11 @@
 // acquirePermit waits for a permit of a backend server.
 func (call *call) acquirePermit(ctx context.Context) *errorResponse {
 	before := call.now()
-	permit, err := call.route.Service.Take(ctx, call.permitRequest())
+	permit, err := call.route.Service.Acquire(ctx, call.permitRequest())
 	if err == nil {
-		call.queueTime += permit.Waited
+		call.queueTime += permit.QueueTime
 		call.permit = permit
-		if (permit.Waited > 0 || len(call.attempts) > 0) && call.keyRevoked() {
+		if (permit.QueueTime > 0 || len(call.attempts) > 0) && call.keyRevoked() {
 			return call.rejectRevoked()
 		}
 		return nil
@@ -113,10 +113,10 @@
 	return errorResponse
 }
 
-func (call *call) permitRequest() service.Demand {
-	return service.Demand{
-		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, Tried: call.lastTarget,
-		Class: call.route.Class.Name, Aim: call.softDeadline,
+func (call *call) permitRequest() service.PermitRequest {
+	return service.PermitRequest{
+		Priority: call.route.Class.Settings.Priority, TeamPriority: call.teamPriority(), Deadline: call.deadline, PreviousTarget: call.lastTarget,
+		Class: call.route.Class.Name, SoftDeadline: call.softDeadline,
 	}
 }
 
@@ -146,7 +146,7 @@
 	call.recordAttempt(&attempt)
 	call.permit = attempt.permit
 	if !attempt.answered() {
-		call.permit = service.Place{}
+		call.permit = service.Permit{}
 	}
 	return attempt
 }
@@ -168,7 +168,7 @@
 	if attempt.budgetExempt {
 		return true
 	}
-	return call.attemptNumber() == 0 && call.route.Service.Budget.Spend()
+	return call.attemptNumber() == 0 && call.route.Service.Budget.TryWithdraw()
 }
 
 func (call *call) maxAttempts() int {
@@ -203,7 +203,7 @@
 	case attempt.exchange != nil:
 		errorResponse.status = http.StatusServiceUnavailable
 		errorResponse.reason = outcome.ReasonServerRefused
-		errorResponse.retryAfter = call.route.Service.ComeBack()
+		errorResponse.retryAfter = call.route.Service.RetryAfter()
 	default:
 		errorResponse.status = http.StatusServiceUnavailable
 		errorResponse.reason = outcome.ReasonConnect
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -28,7 +28,7 @@
 	// Quota enforces the teams' rate limits; it may be nil.
 	Quota *quota.Limiter
 	// KeyFreshness returns how current the API keys of the active table are; nil means that they are current.
-	KeyFreshness func() team.KeyStanding
+	KeyFreshness func() team.KeySetStatus
 	// Servers are the connections to backend servers.
 	Servers *backendserver.Servers
 	// Registry counts events that belong to no class.
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -33,15 +33,15 @@
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
 	first := call.permit
-	call.permit = service.Place{}
+	call.permit = service.Permit{}
 	cancelFirst := call.sendAsync(ctx, first, results)
 	second, winner := call.awaitFirst(ctx, first, results)
 	if winner != nil {
 		return *winner
 	}
 	call.attempts = append(call.attempts, trace.Attempt{
-		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Listed, Taken: first.Taken,
-		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "hedged request was sent",
+		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Considered, Taken: first.InFlight,
+		Waited: first.QueueTime, Slowdown: first.LoadReading.Slowdown, Result: trace.ResultCut, Error: "hedged request was sent",
 	})
 	call.route.Class.Metrics.CountRetry()
 	call.chargeRetry()
@@ -79,7 +79,7 @@
 }
 
 // sendAsync sends the request in a goroutine, under a context of its own that lasts until the attempt is discarded.
-func (call *call) sendAsync(ctx context.Context, permit service.Place, results chan<- attempt) context.CancelFunc {
+func (call *call) sendAsync(ctx context.Context, permit service.Permit, results chan<- attempt) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	request := call.outgoing(permit.Target)
 	go func() {
@@ -106,7 +106,7 @@
 
 // awaitFirst waits for the first request. It returns a permit for the hedged request if the first one is slow, or else the
 // result of the first one.
-func (call *call) awaitFirst(ctx context.Context, first service.Place, results <-chan attempt) (service.Place, *attempt) {
+func (call *call) awaitFirst(ctx context.Context, first service.Permit, results <-chan attempt) (service.Permit, *attempt) {
 	expected := call.route.Service.Scheduler.ExpectedDuration(call.route.Class.Name)
 	latestStart := call.softDeadline.Add(-service.CallerNetworkDelay - hedgeMarginFactor*expected)
 	overdueAt := call.now().Add(hedgeOverdueFactor * expected)
@@ -115,13 +115,13 @@
 	for {
 		select {
 		case result := <-results:
-			return service.Place{}, &result
+			return service.Permit{}, &result
 		case <-timer.C:
 		}
 		now := call.now()
 		if ctx.Err() == nil && call.quotaAllowsRetry() && !call.keyRevoked() && (now >= overdueAt || first.Slow()) {
 			permitRequest := call.permitRequest()
-			permitRequest.Tried = first.Target
+			permitRequest.PreviousTarget = first.Target
 			if second, acquired := call.acquireHedgePermit(permitRequest); acquired {
 				return second, nil
 			}
@@ -131,14 +131,14 @@
 }
 
 // acquireHedgePermit acquires a permit for the hedged request without waiting, and charges it to the retry budget.
-func (call *call) acquireHedgePermit(permitRequest service.Demand) (service.Place, bool) {
+func (call *call) acquireHedgePermit(permitRequest service.PermitRequest) (service.Permit, bool) {
 	second, acquired := call.route.Service.Scheduler.TryAcquire(permitRequest)
 	if !acquired {
-		return service.Place{}, false
+		return service.Permit{}, false
 	}
-	if !call.route.Service.Budget.Spend() {
+	if !call.route.Service.Budget.TryWithdraw() {
 		second.Release(service.Cancelled)
-		return service.Place{}, false
+		return service.Permit{}, false
 	}
 	return second, true
 }
--- a/internal/caller/identity.go
+++ b/internal/caller/identity.go
@@ -93,7 +93,7 @@
 }
 
 // keyFreshness returns how current the API keys of the active table are.
-func (call *call) keyFreshness() team.KeyStanding {
+func (call *call) keyFreshness() team.KeySetStatus {
 	if call.handler.options.KeyFreshness == nil {
 		return team.KeysCurrent
 	}
--- a/internal/caller/response.go
+++ b/internal/caller/response.go
@@ -67,7 +67,7 @@
 	exchange := attempt.exchange
 	status := exchange.Response.StatusCode
 	call.writeResponseHeader(exchange)
-	call.permit.Size = call.body.bytesRead() + len(attempt.buffered)
+	call.permit.TransferredBytes = call.body.bytesRead() + len(attempt.buffered)
 	if exchange.Whole() {
 		// The response has been read completely, so the permit need not be held until it is forwarded.
 		exchange.Close()
--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -46,11 +46,11 @@
 					nextRestart = now.Add(testCase.restarts)
 				}
 				budget := budgets[random.IntN(serving)]
-				budget.Earn()
+				budget.Deposit()
 				asked = append(asked, now)
 				// In ten of every twenty seconds all requests are retried as often as the budget allows, after saved retries have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
-				for failing && budget.Spend() {
+				for failing && budget.TryWithdraw() {
 					repeated = append(repeated, now)
 				}
 			}
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -137,7 +137,7 @@
 	scheduler := fixture.controller.services["lookups"].scheduler
 	warm := service.LoadReading{At: fixture.clock.Now(), Slots: 2, Slowdown: 1, ColdKnown: true}
 	scheduler.Observe("target-0", warm)
-	permit, found := scheduler.TryAcquire(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	permit, found := scheduler.TryAcquire(service.PermitRequest{Class: "class-0", SoftDeadline: fixture.clock.Now().Add(clock.Second)})
 	require.True(t, found, "a warm server accepts requests from any instance")
 
 	restarted := newView(3, 1)
@@ -146,7 +146,7 @@
 	restarted.Servers[0].Started = 99
 	restarted.Servers[0].ColdFor = 3 * clock.Second
 	fixture.controller.applyView(restarted)
-	_, found = scheduler.TryAcquire(service.Demand{Class: "class-0", Aim: fixture.clock.Now().Add(clock.Second)})
+	_, found = scheduler.TryAcquire(service.PermitRequest{Class: "class-0", SoftDeadline: fixture.clock.Now().Add(clock.Second)})
 	require.False(t, found, "this instance does not own the cold server, so it may not send requests to it")
 	permit.Release(service.Failed)
 }
--- a/internal/fleet/load_generator_test.go
+++ b/internal/fleet/load_generator_test.go
@@ -20,7 +20,7 @@
 }
 
 type heldPermit struct {
-	permit service.Place
+	permit service.Permit
 	until  clock.Moment
 }
 
@@ -61,11 +61,11 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(loadGenerator.controller.services)) {
 		for range 4 {
-			permit, pendingPermit, err := loadGenerator.controller.services[name].scheduler.Enter(service.Demand{
-				Class: "class-0", Aim: now.Add(clock.Second), Deadline: now.Add(clock.Second),
+			permit, pendingPermit, err := loadGenerator.controller.services[name].scheduler.AcquireOrEnqueue(service.PermitRequest{
+				Class: "class-0", SoftDeadline: now.Add(clock.Second), Deadline: now.Add(clock.Second),
 			})
 			if pendingPermit != nil {
-				permit, err = pendingPermit.GiveUp()
+				permit, err = pendingPermit.Cancel()
 			}
 			if err != nil {
 				break
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -171,8 +171,8 @@
 }
 
 // KeyStatus returns how reliable the API keys of the table in force are.
-func (controller *Controller) KeyStatus() team.KeyStanding {
-	return team.KeyStanding(controller.teams.keyStatus.Load())
+func (controller *Controller) KeyStatus() team.KeySetStatus {
+	return team.KeySetStatus(controller.teams.keyStatus.Load())
 }
 
 // updateKeyStatus determines whether a newer configuration may be in force elsewhere, and whether the configuration of this
@@ -189,7 +189,7 @@
 	case bounds.FailClosed && silent > bounds.RevokeWithin:
 		standing = team.KeysStale
 	case silent > freshViewTimeout || controller.view == nil || controller.versionBehind():
-		standing = team.KeysUnsure
+		standing = team.KeysUnverified
 	}
 	controller.teams.keyStatus.Store(int32(standing))
 }
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -99,7 +99,7 @@
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 	fixture.advance(freshViewTimeout + 3*standbyTickInterval)
 	fixture.controller.tick()
-	require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
+	require.Equal(t, team.KeysUnverified, fixture.controller.KeyStatus())
 	fixture.advanceSecond()
 	require.Equal(t, team.KeysCurrent, fixture.controller.KeyStatus())
 }
@@ -110,9 +110,9 @@
 	cases := []struct {
 		name     string
 		closed   bool
-		expected team.KeyStanding
+		expected team.KeySetStatus
 	}{
-		{"open", false, team.KeysUnsure},
+		{"open", false, team.KeysUnverified},
 		{"closed", true, team.KeysStale},
 	}
 	for _, testCase := range cases {
@@ -121,7 +121,7 @@
 			fixture.controller.options.Bounds = settings.GatewayBounds{ProbesPerSecond: 60, FailClosed: testCase.closed, RevokeWithin: 5 * clock.Second}
 			fixture.advance(4 * clock.Second)
 			fixture.controller.tick()
-			require.Equal(t, team.KeysUnsure, fixture.controller.KeyStatus())
+			require.Equal(t, team.KeysUnverified, fixture.controller.KeyStatus())
 			fixture.advance(2 * clock.Second)
 			fixture.controller.tick()
 			require.Equal(t, testCase.expected, fixture.controller.KeyStatus())
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -111,8 +111,8 @@
 		controller.services[name] = state
 	}
 	state.limits = limits
-	state.budget.SetShare(controller.options.Bounds.RetryShare * retryBudgetMargin)
-	state.budget.SetMost(controller.options.Bounds.RetrySlack / retryBudgetShares)
+	state.budget.SetRetryRatio(controller.options.Bounds.RetryShare * retryBudgetMargin)
+	state.budget.SetCapacity(controller.options.Bounds.RetrySlack / retryBudgetShares)
 	state.settings = &settings.Service{
 		Revision:             settings.Revision(controller.view.Configuration.Version),
 		ConnectionsPerTarget: limits.ConnectionsMost,
@@ -266,7 +266,7 @@
 		Metrics: controller.options.Registry.Class(key),
 	}}
 	for _, part := range route.Split {
-		entry.Parts = append(entry.Parts, routing.Part{Service: services[part.Service], Weight: part.Weight})
+		entry.Services = append(entry.Services, routing.WeightedService{Service: services[part.Service], Weight: part.Weight})
 	}
 	return entry
 }
--- a/internal/service/acquire.go
+++ b/internal/service/acquire.go
@@ -3,24 +3,24 @@
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
 // TryAcquire acquires a permit for a hedged request if one is free on another target that is fast.
-func (scheduler *Scheduler) TryAcquire(permitRequest Demand) (Place, bool) {
+func (scheduler *Scheduler) TryAcquire(permitRequest PermitRequest) (Permit, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	if scheduler.waiting.length > 0 || !scheduler.mayStartLate(now) {
-		return Place{}, false
+	if scheduler.waiting.length > 0 || !scheduler.hasFreePermits(now) {
+		return Permit{}, false
 	}
 	classStats := scheduler.classStatsOf(permitRequest.Class)
-	best, finish := scheduler.best(now, classStats, permitRequest.Tried, false)
-	if best == nil || best.Target == permitRequest.Tried || finish > 2*classStats.serviceTime {
-		return Place{}, false
+	best, finish := scheduler.best(now, classStats, permitRequest.PreviousTarget, false)
+	if best == nil || best.Target == permitRequest.PreviousTarget || finish > 2*classStats.serviceTime {
+		return Permit{}, false
 	}
 	return scheduler.bind(now, best, classStats, rankOf(permitRequest, false)), true
 }
 
 // Slow reports whether the request of the permit is expected to take long: its target was slow when it started, or has
 // become slow and the slowdown of requests may vary with it, or the target is unreachable or removed.
-func (permit Place) Slow() bool {
+func (permit Permit) Slow() bool {
 	if permit.scheduler == nil {
 		return false
 	}
@@ -32,25 +32,25 @@
 	if !found || candidate.down || candidate.stale(now) {
 		return true
 	}
-	if candidate.recordedSlowdown(permit.since) >= slowThreshold {
+	if candidate.recordedSlowdown(permit.acquiredAt) >= slowThreshold {
 		return true
 	}
 	return scheduler.slowdownMayVary(now) && candidate.expectedSlowdown(now, 1) >= slowThreshold
 }
 
-func (scheduler *Scheduler) acquireNow(now clock.Moment, waiter *rankedWaiter) (Place, bool) {
-	if waiter.late() && !scheduler.mayStartLate(now) {
-		return Place{}, false
+func (scheduler *Scheduler) acquireNow(now clock.Moment, waiter *rankedWaiter) (Permit, bool) {
+	if waiter.late() && !scheduler.hasFreePermits(now) {
+		return Permit{}, false
 	}
 	chosen := scheduler.choose(now, waiter)
 	if chosen == nil {
-		return Place{}, false
+		return Permit{}, false
 	}
-	return scheduler.bind(now, chosen, waiter.expected, waiter.rank), true
+	return scheduler.bind(now, chosen, waiter.classStats, waiter.rank), true
 }
 
 // bind acquires a permit on the chosen target.
-func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, classStats *classStats, rank rank) Place {
+func (scheduler *Scheduler) bind(now clock.Moment, chosen *candidate, classStats *classStats, rank rank) Permit {
 	cold := chosen.cold(now)
 	if cold {
 		chosen.tokens--
@@ -70,12 +70,12 @@
 	} else {
 		scheduler.reindexInFlight(now, chosen)
 	}
-	return Place{
-		flight: activeRequest, tried: explored,
-		Target: chosen.Target, scheduler: scheduler, candidate: chosen, expected: classStats,
-		Taken: inFlight, Listed: scheduler.usableCount, since: now,
-		fast:    !cold && chosen.expectedSlowdown(now, scheduler.meanSlowdown) < slowThreshold,
-		Reading: chosen.reading,
+	return Permit{
+		activeRequest: activeRequest, trialClass: explored,
+		Target: chosen.Target, scheduler: scheduler, candidate: chosen, classStats: classStats,
+		InFlight: inFlight, Considered: scheduler.usableCount, acquiredAt: now,
+		startedFast: !cold && chosen.expectedSlowdown(now, scheduler.meanSlowdown) < slowThreshold,
+		LoadReading: chosen.reading,
 	}
 }
 
@@ -91,16 +91,16 @@
 }
 
 // release returns a permit and learns from how the request ended.
-func (scheduler *Scheduler) release(permit Place, result Result) {
+func (scheduler *Scheduler) release(permit Permit, result Result) {
 	now := scheduler.clock.Now()
-	held := now.Since(permit.since)
+	held := now.Since(permit.acquiredAt)
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	recorded := permit.candidate.endRequest(permit.flight)
+	recorded := permit.candidate.endRequest(permit.activeRequest)
 	scheduler.ownInFlight--
 	scheduler.learnSlowdownModel(now, permit, held, result == Succeeded)
-	if permit.tried != nil {
-		permit.tried.explorations--
+	if permit.trialClass != nil {
+		permit.trialClass.explorations--
 	}
 	scheduler.meanHold += averageWeight * (held - scheduler.meanHold)
 	switch result {
@@ -113,7 +113,7 @@
 	}
 	scheduler.reindexAfterRequest(now, permit.candidate, result)
 	if recorded {
-		scheduler.freeActiveRequests = append(scheduler.freeActiveRequests, permit.flight)
+		scheduler.freeActiveRequests = append(scheduler.freeActiveRequests, permit.activeRequest)
 	}
 	scheduler.serveWaiting(now)
 }
--- a/internal/service/address_test.go
+++ b/internal/service/address_test.go
@@ -18,13 +18,13 @@
 	config := TargetConfig{Name: "one", Address: "10.0.0.1:80", Slots: 2, Owned: true, Usable: true}
 	scheduler.SetTargets([]TargetConfig{config})
 	scheduler.Observe("one", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 1, ColdKnown: true})
-	permit, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	permit, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	config.Address = "10.0.0.2:80"
 	scheduler.SetTargets([]TargetConfig{config})
 	require.Equal(t, 1, fill(t, scheduler), "one of two permits is in use")
 	permit.Release(Succeeded)
 	targets, waiting := scheduler.State()
-	require.Equal(t, 2, targets[0].Own, "the waiting request has the released permit")
+	require.Equal(t, 2, targets[0].OwnInFlight, "the waiting request has the released permit")
 	require.Zero(t, waiting)
 }
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -4,27 +4,28 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Admission.
+// Bounds of admission and of the Retry-After time of refused requests.
 const (
-	// comeBackNoTarget is when a caller may return if a service has no target at all: the list of targets lags by about
-	// a second.
-	comeBackNoTarget = 500 * clock.Millisecond
-	// leastComeBack keeps refused callers from returning at once, mostComeBack from staying away longer than the fleet
+	// retryAfterNoTarget is the Retry-After time of a service without targets. The list of targets is about a second out of date.
+	retryAfterNoTarget = 500 * clock.Millisecond
+	// minRetryAfter prevents immediate retries of refused requests. maxRetryAfter limits the delay to the time that the fleet
 	// needs to recover.
-	leastComeBack = 50 * clock.Millisecond
-	mostComeBack  = 2 * clock.Second
-	// leastComeBackRefused is when a caller may return whose request backend servers refused while there is room here: another
-	// one may take it at once, and a caller that counts from its first attempt is in time only if it returns soon.
-	leastComeBackRefused = 20 * clock.Millisecond
-	// comeBackSpread spreads the returns of callers refused at the same moment, as a part of the time.
-	comeBackSpread = 0.5
-	// lateWaitMost bounds the wait of a request that will be late: what can't be served soon is refused, while its
-	// caller still has time to come back.
-	lateWaitMost = 0.4
+	minRetryAfter = 50 * clock.Millisecond
+	maxRetryAfter = 2 * clock.Second
+	// minRetryAfterServerRefusal is the minimum for a request that backend servers refused while permits are free here. Another
+	// backend server may accept it immediately, and a caller that measures from its first attempt gets a timely answer only by
+	// retrying soon.
+	minRetryAfterServerRefusal = 20 * clock.Millisecond
+	// retryAfterJitter is the maximum random increase of a Retry-After time, as a fraction of it, so that callers refused at the
+	// same moment do not retry at the same moment.
+	retryAfterJitter = 0.5
+	// maxLateWaitShare bounds the wait of a request that will miss its soft deadline, as a fraction of the time until its deadline.
+	// A request that cannot be served soon is refused while its caller still has time to retry.
+	maxLateWaitShare = 0.4
 )
 
-// startShares are the parts of all starts that each rank has had, on a moving average.
-type startShares [ranks]float64
+// startShares holds each rank's share of all started requests, as a moving average.
+type startShares [rankCount]float64
 
 func (startShares *startShares) count(started rank) {
 	for index := range startShares {
@@ -33,99 +34,104 @@
 	startShares[started] += averageWeight
 }
 
-// left is the part that more urgent requests leave to a rank.
-func (startShares *startShares) left(rank rank) float64 {
-	left := 1.0
+// remaining returns the share that is left for a rank by more urgent ones, at least minRemainingShare.
+func (startShares *startShares) remaining(rank rank) float64 {
+	remaining := 1.0
 	for _, share := range startShares[:rank] {
-		left -= share
+		remaining -= share
 	}
-	return max(left, leastShare)
+	return max(remaining, minRemainingShare)
 }
 
-// newWaiter ranks a request.
-func (scheduler *Scheduler) newWaiter(now clock.Moment, demand Demand) rankedWaiter {
-	expected := scheduler.classStatsOf(demand.Class)
-	waiter := rankedWaiter{demand: demand, expected: expected, since: now, latest: demand.Aim.Add(-CallerNetworkDelay - expected.serviceTime)}
-	waiter.until = now.Add(lateWaitMost * demand.Deadline.Since(now))
-	waiter.rank = rankOf(demand, now > waiter.latest)
+// newWaiter creates the queue element of a request, with its rank and its time limits.
+func (scheduler *Scheduler) newWaiter(now clock.Moment, request PermitRequest) rankedWaiter {
+	classStats := scheduler.classStatsOf(request.Class)
+	waiter := rankedWaiter{request: request, classStats: classStats, enqueuedAt: now, startDeadline: request.SoftDeadline.Add(-CallerNetworkDelay - classStats.serviceTime)}
+	waiter.waitDeadline = now.Add(maxLateWaitShare * request.Deadline.Since(now))
+	waiter.rank = rankOf(request, now > waiter.startDeadline)
 	return waiter
 }
 
-// enqueue makes a request wait. One whose turn would not come in time is refused at once: its caller can come back when
-// there is room, and nothing that could still be served waits behind it.
+// enqueue adds a request to the queue, with a late rank if it is not expected to start before its start deadline. A late request
+// that is not expected to start before its wait deadline is refused immediately: its caller can retry when permits are free, and
+// the request does not delay others that can still be served.
 func (scheduler *Scheduler) enqueue(now clock.Moment, waiter *rankedWaiter) error {
-	if !waiter.late() && now.Add(scheduler.expectedWait(now, waiter.rank)) > waiter.latest {
-		waiter.rank = rankOf(waiter.demand, true)
+	if !waiter.late() && now.Add(scheduler.expectedWait(now, waiter.rank)) > waiter.startDeadline {
+		waiter.rank = rankOf(waiter.request, true)
 	}
-	if waiter.late() && scheduler.expectedWait(now, waiter.rank) > waiter.until.Since(now)*admittedShare {
-		return &RefusedError{Cause: ErrQueueFull, RetryAfter: scheduler.comeBack(now)}
+	if waiter.late() && scheduler.expectedWait(now, waiter.rank) > waiter.waitDeadline.Since(now)*maxExpectedWaitShare {
+		return &RefusedError{Cause: ErrQueueFull, RetryAfter: scheduler.retryAfter(now)}
 	}
 	scheduler.waiting.push(waiter)
 	return nil
 }
 
-// demote ranks anew the requests whose moment to start has passed: what is late must not make others late as well. One
-// that would wait long from now on is refused.
-func (scheduler *Scheduler) demote(now clock.Moment) {
-	for _, waiter := range scheduler.waiting.overdueAt(now) {
+// demoteOverdue assigns a late rank to the requests whose start deadline has passed, so that a late request does not make others
+// late. A request whose expected wait is then too long is refused.
+func (scheduler *Scheduler) demoteOverdue(now clock.Moment) {
+	for _, waiter := range scheduler.waiting.popOverdue(now) {
 		scheduler.waiting.remove(waiter)
-		waiter.rank = rankOf(waiter.demand, true)
+		waiter.rank = rankOf(waiter.request, true)
 		if err := scheduler.enqueue(now, waiter); err != nil {
 			waiter.done <- scheduledGrant{err: err}
 		}
 	}
 }
 
-// mayStartLate reports whether there is room at all, by what is in flight on targets that are closed for another reason as well.
-func (scheduler *Scheduler) mayStartLate(now clock.Moment) bool {
-	taken, room := scheduler.taken(now)
-	return room > taken
+// hasFreePermits reports whether the concurrency limits of all targets together permit another request. It counts targets that are
+// unavailable for another reason as well.
+func (scheduler *Scheduler) hasFreePermits(now clock.Moment) bool {
+	inFlight, limit := scheduler.inFlight(now)
+	return limit > inFlight
 }
 
-// taken is how much of the room on all targets is taken, and how much there is.
-func (scheduler *Scheduler) taken(now clock.Moment) (int, int) {
+// inFlight returns the number of requests in flight on all targets, counting each target up to its concurrency limit, and the sum
+// of these limits.
+func (scheduler *Scheduler) inFlight(now clock.Moment) (int, int) {
 	scheduler.reindexDue(now)
-	taken, room := 0, 0
+	inFlight, limit := 0, 0
 	for _, slotClass := range scheduler.concurrencyModel.slotClasses {
-		each := slotClass.currentLimit()
+		targetLimit := slotClass.currentLimit()
 		for count, targets := range slotClass.targetCounts {
-			room += targets * each
-			taken += targets * min(count, each)
+			limit += targets * targetLimit
+			inFlight += targets * min(count, targetLimit)
 		}
 	}
-	return taken, room
+	return inFlight, limit
 }
 
-// expectedWait is how long a request of the given rank would wait: those before it, at the pace at which places become
-// free for its rank. By Little's law that pace is the number of places taken by the time each is taken.
+// expectedWait returns the expected queue time of a request of the given rank: the number of requests ahead of it, divided by
+// the rate at which permits are released for its rank. By Little's law that rate is the number of permits in use divided by the
+// mean time that a permit is in use.
 func (scheduler *Scheduler) expectedWait(now clock.Moment, rank rank) clock.Milliseconds {
 	if scheduler.anyFastAvailable(now) {
 		return 0
 	}
 	ahead := clock.Milliseconds(scheduler.waiting.ahead(rank))
-	pace := float64(max(scheduler.ownInFlight, 1)) * scheduler.startShares.left(rank)
-	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(pace) * waitBias
+	availablePermits := float64(max(scheduler.ownInFlight, 1)) * scheduler.startShares.remaining(rank)
+	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(availablePermits) * waitBias
 }
 
-// waitBias makes expected waits longer than the pace says. Part of the places are on targets that are slow, which
-// requests in time pass over.
+// waitBias is the factor by which expected waits exceed the estimate by Little's law. Some of the permits belong to slow targets,
+// which requests that are still on time skip.
 const waitBias = 2.0
 
-// comeBack is when room is expected for a request that was refused now.
-func (scheduler *Scheduler) comeBack(now clock.Moment) clock.Milliseconds {
-	return scheduler.comeBackAfter(now, leastComeBack)
+// retryAfter returns the time after which a request that is refused now may be retried.
+func (scheduler *Scheduler) retryAfter(now clock.Moment) clock.Milliseconds {
+	return scheduler.retryAfterAtLeast(now, minRetryAfter)
 }
 
-// ComeBack is when a caller may return whose request was refused by backend servers and not here.
-func (scheduler *Scheduler) ComeBack() clock.Milliseconds {
+// RetryAfter returns the time after which a request that backend servers refused, rather than the Scheduler, may be retried.
+func (scheduler *Scheduler) RetryAfter() clock.Milliseconds {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
-	return scheduler.comeBackAfter(scheduler.clock.Now(), leastComeBackRefused)
+	return scheduler.retryAfterAtLeast(scheduler.clock.Now(), minRetryAfterServerRefusal)
 }
 
-// comeBackAfter spreads by chance, so that those refused together don't return together.
-func (scheduler *Scheduler) comeBackAfter(now clock.Moment, least clock.Milliseconds) clock.Milliseconds {
-	wait := scheduler.expectedWait(now, ranks-1)
-	wait = min(max(wait, least), mostComeBack)
-	return wait * clock.Milliseconds(1+comeBackSpread*scheduler.random.Float64())
+// retryAfterAtLeast returns the expected wait of the lowest rank within the given minimum and maxRetryAfter, plus jitter, so that
+// callers refused together do not retry together.
+func (scheduler *Scheduler) retryAfterAtLeast(now clock.Moment, minimum clock.Milliseconds) clock.Milliseconds {
+	wait := scheduler.expectedWait(now, rankCount-1)
+	wait = min(max(wait, minimum), maxRetryAfter)
+	return wait * clock.Milliseconds(1+retryAfterJitter*scheduler.random.Float64())
 }
--- a/internal/service/bucketindex.go
+++ b/internal/service/bucketindex.go
@@ -27,11 +27,11 @@
 		return
 	}
 	bucketIndex.remove(entry)
-	if bucket == unlisted {
+	if bucket == notIndexed {
 		return
 	}
 	if bucketIndex.buckets == nil {
-		bucketIndex.buckets = make([][]*bucketEntry[T], levels)
+		bucketIndex.buckets = make([][]*bucketEntry[T], bucketCount)
 	}
 	entry.bucket = bucket
 	entry.position = len(bucketIndex.buckets[bucket])
@@ -41,7 +41,7 @@
 
 // remove removes an entry from its bucket.
 func (bucketIndex *bucketIndex[T]) remove(entry *bucketEntry[T]) {
-	if entry.bucket == unlisted {
+	if entry.bucket == notIndexed {
 		return
 	}
 	list := bucketIndex.buckets[entry.bucket]
@@ -54,7 +54,7 @@
 	if len(list) == 0 {
 		bucketIndex.notEmpty &^= 1 << entry.bucket
 	}
-	entry.bucket = unlisted
+	entry.bucket = notIndexed
 }
 
 // lowest returns the lowest bucket that is not empty, or the number of buckets if all are empty.
@@ -111,7 +111,7 @@
 			return list[(start+1)%len(list)].item
 		}
 	}
-	if tried != nil && tried.bucket != unlisted {
+	if tried != nil && tried.bucket != notIndexed {
 		return tried.item
 	}
 	return nil
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -261,7 +261,7 @@
 	if !candidate.config.Usable || candidate.down {
 		return false
 	}
-	if !despiteFailures && candidate.consecutiveFailures >= failuresUntilTrickle || candidate.stale(now) {
+	if !despiteFailures && candidate.consecutiveFailures >= failuresUntilThrottled || candidate.stale(now) {
 		// The state of the target is unknown or bad. One request at a time does no harm and shows its state.
 		limit = 1
 	}
@@ -278,7 +278,7 @@
 func (candidate *candidate) recordFailure(now clock.Moment) {
 	candidate.failureRate += failureWeight * (1 - candidate.failureRate)
 	candidate.consecutiveFailures++
-	doublings := min(candidate.consecutiveFailures-1, mostDoublings)
+	doublings := min(candidate.consecutiveFailures-1, maxPenaltyDoublings)
 	candidate.backoffUntil = now.Add(initialBackoff * clock.Milliseconds(int(1)<<doublings))
 }
 
--- a/internal/service/candidateindex.go
+++ b/internal/service/candidateindex.go
@@ -159,7 +159,7 @@
 // moveTo moves the candidate to the list of the given phase, or to no list if phaseIndex is nil.
 func (indexEntry *indexEntry) moveTo(phaseIndex *phaseIndex, phase int) {
 	if indexEntry.phaseIndex != nil && (indexEntry.phaseIndex != phaseIndex || indexEntry.phase != phase) {
-		indexEntry.phaseIndex.move(indexEntry.phase, &indexEntry.bucketEntry, unlisted)
+		indexEntry.phaseIndex.move(indexEntry.phase, &indexEntry.bucketEntry, notIndexed)
 	}
 	indexEntry.phaseIndex, indexEntry.phase = phaseIndex, phase
 	if phaseIndex != nil {
@@ -232,7 +232,7 @@
 	if times <= 1 {
 		return 0
 	}
-	return min(int(bucketsPerDoubling*math.Log2(times)), levels-1)
+	return min(int(bucketsPerDoubling*math.Log2(times)), bucketCount-1)
 }
 
 // nextReindexAt returns the next moment at which the passing of time may change the position of the candidate.
@@ -268,7 +268,7 @@
 	case since <= 0:
 		until(now.Add(slowdownCycle.untilBoundary(now)))
 	case since == 1:
-		until(now.Add(readingDue - slowdownCycle.sinceBoundary(now)))
+		until(now.Add(loadReadingDelay - slowdownCycle.sinceBoundary(now)))
 	}
 	return next
 }
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -63,12 +63,12 @@
 
 // choose returns the target for a request, or nil if none is available or if the request should wait for a fast one.
 func (scheduler *Scheduler) choose(now clock.Moment, waiter *rankedWaiter) *candidate {
-	chosen, finish := scheduler.best(now, waiter.expected, waiter.demand.Tried, false)
+	chosen, finish := scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, false)
 	if chosen == nil {
-		chosen, _ = scheduler.best(now, waiter.expected, waiter.demand.Tried, true)
+		chosen, _ = scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, true)
 		return chosen
 	}
-	if chosen.slow(now) && scheduler.betterLater(now, waiter, chosen, finish) {
+	if chosen.slow(now) && scheduler.shouldWaitForFast(now, waiter, chosen, finish) {
 		return nil
 	}
 	return chosen
--- a/internal/service/choice_test.go
+++ b/internal/service/choice_test.go
@@ -27,23 +27,23 @@
 			manual := clock.NewManual()
 			manual.Advance(clock.Minute)
 			scheduler := NewScheduler(SchedulerOptions{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-			demand := func() Demand {
-				return Demand{Class: "one", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
+			demand := func() PermitRequest {
+				return PermitRequest{Class: "one", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(5 * clock.Second)}
 			}
 			home := TargetConfig{Name: "home", Slots: 8, Local: true, Owned: true, Usable: true}
 			scheduler.SetTargets([]TargetConfig{home})
 			for range 200 {
 				scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-				permit, _, err := scheduler.Enter(demand())
+				permit, _, err := scheduler.AcquireOrEnqueue(demand())
 				require.NoError(t, err)
 				manual.Advance(200 * clock.Millisecond)
-				permit.Size = testCase.size
+				permit.TransferredBytes = testCase.size
 				permit.Release(Succeeded)
 			}
 			scheduler.SetTargets([]TargetConfig{home, {Name: "far", Slots: 8, Usable: true}})
 			scheduler.Observe("home", LoadReading{At: manual.Now(), Slowdown: 1.4, ColdKnown: true})
 			scheduler.Observe("far", LoadReading{At: manual.Now(), Slowdown: 1, ColdKnown: true})
-			permit, _, err := scheduler.Enter(demand())
+			permit, _, err := scheduler.AcquireOrEnqueue(demand())
 			require.NoError(t, err)
 			require.Equal(t, testCase.expect, permit.Target.Name)
 		})
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -18,8 +18,8 @@
 )
 
 // bucketTimes is the least expected time of the targets of each bucket, relative to the usual one.
-var bucketTimes = func() [levels]clock.Milliseconds {
-	var times [levels]clock.Milliseconds
+var bucketTimes = func() [bucketCount]clock.Milliseconds {
+	var times [bucketCount]clock.Milliseconds
 	for bucket := range times {
 		times[bucket] = clock.Milliseconds(math.Exp2(float64(bucket) / bucketsPerDoubling))
 	}
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -47,7 +47,7 @@
 	return cost
 }
 
-func (exhaustiveChooser *exhaustiveChooser) best(permitRequest Demand, despiteFailures bool) *candidate {
+func (exhaustiveChooser *exhaustiveChooser) best(permitRequest PermitRequest, despiteFailures bool) *candidate {
 	classStats := exhaustiveChooser.classStatsOf(permitRequest.Class)
 	var best, tried *candidate
 	var minCost clock.Milliseconds
@@ -55,7 +55,7 @@
 		if !candidate.available(exhaustiveChooser.now, despiteFailures) {
 			continue
 		}
-		if candidate.Target == permitRequest.Tried {
+		if candidate.Target == permitRequest.PreviousTarget {
 			tried = candidate
 			continue
 		}
@@ -93,12 +93,12 @@
 	exhaustiveChooser := &exhaustiveChooser{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
 	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any available")
 	inFlight, limit := exhaustiveChooser.inFlightAndLimit()
-	foundInFlight, foundLimit := scheduler.taken(now)
+	foundInFlight, foundLimit := scheduler.inFlight(now)
 	require.Equal(randomWorkload, []int{inFlight, limit}, []int{foundInFlight, foundLimit}, "in flight and limit")
 	permitRequest := randomWorkload.permitRequest()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
 	expected := exhaustiveChooser.best(permitRequest, false)
-	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, false)
+	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.PreviousTarget, false)
 	if expected == nil && found == nil {
 		require.Equal(randomWorkload, exhaustiveChooser.best(permitRequest, true) == nil, randomWorkload.bestDespiteFailures(permitRequest) == nil, "despite failures")
 		return
@@ -110,13 +110,14 @@
 		require.InDelta(randomWorkload, float64(exhaustiveChooser.finish(expected, scheduler.classStatsOf(permitRequest.Class), 1)), float64(finish), 1e-6)
 		return
 	}
-	require.Equal(randomWorkload, expected.Target == permitRequest.Tried, found.Target == permitRequest.Tried, "the target of the earlier attempt comes last")
+	require.Equal(randomWorkload, expected.Target == permitRequest.PreviousTarget, found.Target == permitRequest.PreviousTarget,
+		"the target of the earlier attempt comes last")
 	classStats := scheduler.classStatsOf(permitRequest.Class)
 	randomWorkload.excessCosts = append(randomWorkload.excessCosts, float64(exhaustiveChooser.cost(found, classStats, 0)/exhaustiveChooser.cost(expected, classStats, 0)-1))
 }
 
-func (randomWorkload *randomWorkload) bestDespiteFailures(permitRequest Demand) *candidate {
-	found, _ := randomWorkload.scheduler.best(randomWorkload.clock.Now(), randomWorkload.scheduler.classStatsOf(permitRequest.Class), permitRequest.Tried, true)
+func (randomWorkload *randomWorkload) bestDespiteFailures(permitRequest PermitRequest) *candidate {
+	found, _ := randomWorkload.scheduler.best(randomWorkload.clock.Now(), randomWorkload.scheduler.classStatsOf(permitRequest.Class), permitRequest.PreviousTarget, true)
 	require.True(randomWorkload, found == nil || found.config.Usable && !found.down && found.available(randomWorkload.clock.Now(), true), "available despite failures")
 	return found
 }
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -86,7 +86,7 @@
 	now := scheduler.clock.Now()
 	if candidate.slowdownCycle.period > 0 {
 		interval := candidate.slowdownCycle.nextProbe(now)
-		if inFlight, limit := scheduler.taken(now); float64(inFlight) >= busyShare*float64(limit) {
+		if inFlight, limit := scheduler.inFlight(now); float64(inFlight) >= busyShare*float64(limit) {
 			interval = min(interval, busyProbeInterval)
 		}
 		return interval
@@ -128,12 +128,12 @@
 
 // learnServiceTime updates the usual service time with a request that started on a fast target, corrected for the other
 // requests on that target.
-func (scheduler *Scheduler) learnServiceTime(permit Place, held clock.Milliseconds) {
-	classStats := permit.expected
-	classStats.answerSize += learnWeight * (float64(permit.Size) - classStats.answerSize)
+func (scheduler *Scheduler) learnServiceTime(permit Permit, held clock.Milliseconds) {
+	classStats := permit.classStats
+	classStats.answerSize += learnWeight * (float64(permit.TransferredBytes) - classStats.answerSize)
 	slotClass := permit.candidate.slotClass
-	uncontended := held / slotClass.durationFactor(permit.flight.inFlightAtStart)
-	if !permit.fast || classStats.samples >= minSamples && uncontended > maxOutlierFactor*classStats.serviceTime {
+	uncontended := held / slotClass.durationFactor(permit.activeRequest.inFlightAtStart)
+	if !permit.startedFast || classStats.samples >= minSamples && uncontended > maxOutlierFactor*classStats.serviceTime {
 		// The request was slowed down while it ran, or started on a slow target, which does not show the usual time. An
 		// estimate that is far too low is still raised, slowly.
 		classStats.serviceTime += learnWeight * learnWeight * (uncontended - classStats.serviceTime)
@@ -141,9 +141,9 @@
 	}
 	// If both the service time and the duration factors were learned from requests beside many others, the time of one could
 	// be attributed to the other.
-	if classStats.samples >= minSamples && !slotClass.uncontended(permit.flight.peakInFlight) {
+	if classStats.samples >= minSamples && !slotClass.uncontended(permit.activeRequest.peakInFlight) {
 		scheduler.concurrencyModel.learning = !scheduler.slowdownMayVary(scheduler.clock.Now())
-		slotClass.learn(permit.flight, classStats.serviceTime, held)
+		slotClass.learn(permit.activeRequest, classStats.serviceTime, held)
 		return
 	}
 	classStats.samples++
@@ -152,13 +152,13 @@
 
 // learnSlowdownModel learns from the duration of a request whether requests keep the slowdown at which they start. It
 // requires a known service time of the class.
-func (scheduler *Scheduler) learnSlowdownModel(now clock.Moment, permit Place, held clock.Milliseconds, finished bool) {
-	classStats := permit.expected
+func (scheduler *Scheduler) learnSlowdownModel(now clock.Moment, permit Permit, held clock.Milliseconds, finished bool) {
+	classStats := permit.classStats
 	if classStats.samples < minSamples {
 		return
 	}
-	serviceTime := classStats.serviceTime * permit.candidate.slotClass.durationFactor(permit.flight.inFlightAtStart)
-	if forecast, found := permit.candidate.retrospectiveForecast(permit.since, now, serviceTime, scheduler.longRunSlowdown()); found {
+	serviceTime := classStats.serviceTime * permit.candidate.slotClass.durationFactor(permit.activeRequest.inFlightAtStart)
+	if forecast, found := permit.candidate.retrospectiveForecast(permit.acquiredAt, now, serviceTime, scheduler.longRunSlowdown()); found {
 		scheduler.slowdownModel.learn(forecast, serviceTime, held, finished)
 	}
 }
@@ -184,7 +184,7 @@
 const maxOutlierFactor = 2.5
 
 // Observe adds a load reading that arrived with the answer to the request of the permit.
-func (permit Place) Observe(reading LoadReading) {
+func (permit Permit) Observe(reading LoadReading) {
 	if permit.scheduler != nil {
 		permit.scheduler.Observe(permit.Target.Name, reading)
 	}
--- a/internal/service/nonreporting_test.go
+++ b/internal/service/nonreporting_test.go
@@ -51,7 +51,7 @@
 func fill(t *testing.T, scheduler *Scheduler) int {
 	now := scheduler.clock.Now()
 	for acquired := range 100 {
-		_, pendingPermit, err := scheduler.Enter(Demand{Class: "look", Aim: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
+		_, pendingPermit, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: now.Add(clock.Second), Deadline: now.Add(10 * clock.Second)})
 		if pendingPermit != nil || err != nil {
 			return acquired
 		}
--- a/internal/service/randomworkload_test.go
+++ b/internal/service/randomworkload_test.go
@@ -20,8 +20,8 @@
 	configs        []TargetConfig
 	phases         []clock.Milliseconds
 	steady         bool
-	permits        []Place
-	pendingPermits []*Ticket
+	permits        []Permit
+	pendingPermits []*PendingPermit
 	// excessCosts holds, for each choice among many targets, its cost beyond that of the best target, relative to the
 	// latter.
 	excessCosts []float64
@@ -72,15 +72,15 @@
 	randomWorkload.scheduler.Observe(randomWorkload.configs[number].Name, reading)
 }
 
-func (randomWorkload *randomWorkload) permitRequest() Demand {
+func (randomWorkload *randomWorkload) permitRequest() PermitRequest {
 	now := randomWorkload.clock.Now()
-	permitRequest := Demand{
-		Priority: settings.Priority(randomWorkload.random.IntN(int(settings.LowestPriority) + 1)),
-		Class:    settings.ClassName([]string{"look", "claim"}[randomWorkload.random.IntN(2)]),
-		Aim:      now.Add(clock.Milliseconds(randomWorkload.random.IntN(600))), Deadline: now.Add(1500),
+	permitRequest := PermitRequest{
+		Priority:     settings.Priority(randomWorkload.random.IntN(int(settings.LowestPriority) + 1)),
+		Class:        settings.ClassName([]string{"look", "claim"}[randomWorkload.random.IntN(2)]),
+		SoftDeadline: now.Add(clock.Milliseconds(randomWorkload.random.IntN(600))), Deadline: now.Add(1500),
 	}
 	if randomWorkload.chance(0.2) {
-		permitRequest.Tried = randomWorkload.scheduler.ordered[randomWorkload.random.IntN(len(randomWorkload.scheduler.ordered))].Target
+		permitRequest.PreviousTarget = randomWorkload.scheduler.ordered[randomWorkload.random.IntN(len(randomWorkload.scheduler.ordered))].Target
 	}
 	return permitRequest
 }
@@ -92,7 +92,7 @@
 	case kind < 400:
 		randomWorkload.observe()
 	case kind < 650:
-		permit, pendingPermit, err := scheduler.Enter(randomWorkload.permitRequest())
+		permit, pendingPermit, err := scheduler.AcquireOrEnqueue(randomWorkload.permitRequest())
 		if pendingPermit != nil {
 			randomWorkload.pendingPermits = append(randomWorkload.pendingPermits, pendingPermit)
 		} else if err == nil {
@@ -140,10 +140,10 @@
 }
 
 func (randomWorkload *randomWorkload) collect() {
-	randomWorkload.pendingPermits = slices.DeleteFunc(randomWorkload.pendingPermits, func(pendingPermit *Ticket) bool {
+	randomWorkload.pendingPermits = slices.DeleteFunc(randomWorkload.pendingPermits, func(pendingPermit *PendingPermit) bool {
 		permit, found, err := pendingPermit.Poll()
-		if !found && randomWorkload.clock.Now() >= pendingPermit.Until() {
-			permit, err = pendingPermit.GiveUp()
+		if !found && randomWorkload.clock.Now() >= pendingPermit.WaitDeadline() {
+			permit, err = pendingPermit.Cancel()
 			found = true
 		}
 		if found && err == nil {
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -8,56 +8,58 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// rank orders waiting requests: those that can still be in time by priority, then those that will be late by priority.
-// An answer in time is worth ten late ones to the users, so a late one never takes its place.
+// rank is the order in which waiting requests are served: first the requests that can still meet their soft deadline, by
+// priority, then the late ones, by priority. An answer on time is worth ten late ones to the users, so a late request never goes
+// before one that is on time.
 type rank int
 
 const (
-	priorities = rank(settings.LowestPriority + 1)
-	// firstLate is the rank of the most urgent requests that will be late.
-	firstLate = priorities * priorities
-	ranks     = 2 * firstLate
+	priorityCount = rank(settings.LowestPriority + 1)
+	// firstLateRank is the rank of the most urgent late requests.
+	firstLateRank = priorityCount * priorityCount
+	rankCount     = 2 * firstLateRank
 )
 
-// rankOf ranks a request by its team's priority and then by its own.
-func rankOf(demand Demand, late bool) rank {
-	urgency := rank(demand.TeamPriority)*priorities + rank(demand.Priority)
+// rankOf returns the rank of a request, by the priority of its team first and then by its own.
+func rankOf(request PermitRequest, late bool) rank {
+	urgency := rank(request.TeamPriority)*priorityCount + rank(request.Priority)
 	if late {
-		return firstLate + urgency
+		return firstLateRank + urgency
 	}
 	return urgency
 }
 
-// rankedWaiter is a request that waits for a place. The place, or the refusal, arrives on done exactly once.
+// rankedWaiter is a request that waits for a permit. Exactly one scheduledGrant is sent on done.
 type rankedWaiter struct {
-	demand Demand
-	// expected is what is known of its class.
-	expected *classStats
-	since    clock.Moment
-	until    clock.Moment
-	// latest is when it must start to be in time.
-	latest clock.Moment
-	done   chan scheduledGrant
-	rank   rank
-
-	// queued says that it is in a rankedQueue, where number tells the order in which requests were added.
-	queued           bool
-	number           int
-	previous, behind *rankedWaiter
-	overdue          timer[rankedWaiter]
+	request PermitRequest
+	// classStats holds the statistics of the request's class.
+	classStats   *classStats
+	enqueuedAt   clock.Moment
+	waitDeadline clock.Moment
+	// startDeadline is the latest moment at which the request must start to meet its soft deadline.
+	startDeadline clock.Moment
+	done          chan scheduledGrant
+	rank          rank
+
+	// queued is true while the element is in a rankedQueue; sequence is the order in which elements were added there.
+	queued         bool
+	sequence       int
+	previous, next *rankedWaiter
+	overdueTimer   timer[rankedWaiter]
 }
 
+// scheduledGrant is the result of a wait: a permit, or the error with which the request is refused.
 type scheduledGrant struct {
-	place Place
-	err   error
+	permit Permit
+	err    error
 }
 
-// late reports whether the request is past the moment at which it should have started.
+// late reports whether the request has a late rank.
 func (waiter *rankedWaiter) late() bool {
-	return waiter.rank >= firstLate
+	return waiter.rank >= firstLateRank
 }
 
-// rankedList holds the waiting requests of one rank in the order in which they were added.
+// rankedList is a linked list of the waiting requests of one rank, in the order in which they were added.
 type rankedList struct {
 	first, last *rankedWaiter
 	length      int
@@ -65,58 +67,58 @@
 
 // rankedQueue holds waiting requests by rank.
 type rankedQueue struct {
-	length int
-	added  int
-	lists  [ranks]rankedList
-	// overdue holds those that aren't late by the moment from which they are.
-	overdue timerQueue[rankedWaiter]
-	found   []*rankedWaiter
+	length       int
+	lastSequence int
+	lists        [rankCount]rankedList
+	// startDeadlines holds a timer for each request without a late rank, due at its start deadline.
+	startDeadlines timerQueue[rankedWaiter]
+	overdueBuffer  []*rankedWaiter
 }
 
 func (rankedQueue *rankedQueue) push(waiter *rankedWaiter) {
 	list := &rankedQueue.lists[waiter.rank]
-	waiter.previous, waiter.behind = list.last, nil
+	waiter.previous, waiter.next = list.last, nil
 	if list.last == nil {
 		list.first = waiter
 	} else {
-		list.last.behind = waiter
+		list.last.next = waiter
 	}
 	list.last = waiter
 	list.length++
 	rankedQueue.length++
-	rankedQueue.added++
-	waiter.queued, waiter.number = true, rankedQueue.added
+	rankedQueue.lastSequence++
+	waiter.queued, waiter.sequence = true, rankedQueue.lastSequence
 	if !waiter.late() {
-		waiter.overdue.item = waiter
-		rankedQueue.overdue.set(&waiter.overdue, waiter.latest)
+		waiter.overdueTimer.item = waiter
+		rankedQueue.startDeadlines.set(&waiter.overdueTimer, waiter.startDeadline)
 	}
 }
 
-// remove takes waiter out, and reports whether it was still waiting.
+// remove removes waiter from the queue, and reports whether it was in the queue.
 func (rankedQueue *rankedQueue) remove(waiter *rankedWaiter) bool {
 	if !waiter.queued {
 		return false
 	}
 	list := &rankedQueue.lists[waiter.rank]
 	if waiter.previous == nil {
-		list.first = waiter.behind
+		list.first = waiter.next
 	} else {
-		waiter.previous.behind = waiter.behind
+		waiter.previous.next = waiter.next
 	}
-	if waiter.behind == nil {
+	if waiter.next == nil {
 		list.last = waiter.previous
 	} else {
-		waiter.behind.previous = waiter.previous
+		waiter.next.previous = waiter.previous
 	}
-	waiter.previous, waiter.behind = nil, nil
+	waiter.previous, waiter.next = nil, nil
 	waiter.queued = false
 	list.length--
 	rankedQueue.length--
-	rankedQueue.overdue.remove(&waiter.overdue)
+	rankedQueue.startDeadlines.remove(&waiter.overdueTimer)
 	return true
 }
 
-// ahead returns the number of requests that one of the given rank would wait for.
+// ahead returns the number of queued requests that are served before a new request of the given rank.
 func (rankedQueue *rankedQueue) ahead(rank rank) int {
 	ahead := 0
 	for before := range rank + 1 {
@@ -125,30 +127,30 @@
 	return ahead
 }
 
-// each visits the waiting requests in order until visit returns false. The visited one may be removed.
+// each calls visit for the waiting requests in order until it returns false. visit may remove the request that it is called with.
 func (rankedQueue *rankedQueue) each(visit func(*rankedWaiter) bool) {
 	for index := range rankedQueue.lists {
 		for waiter := rankedQueue.lists[index].first; waiter != nil; {
-			behind := waiter.behind
+			next := waiter.next
 			if !visit(waiter) {
 				return
 			}
-			waiter = behind
+			waiter = next
 		}
 	}
 }
 
-// overdueAt returns the requests whose moment to start has passed and that aren't ranked as late yet, in their order. They stay
-// in the queue; the slice is used again by the next call.
-func (rankedQueue *rankedQueue) overdueAt(now clock.Moment) []*rankedWaiter {
-	found := rankedQueue.found[:0]
-	for first := rankedQueue.overdue.due(now); first != nil && first.latest < now; first = rankedQueue.overdue.due(now) {
-		rankedQueue.overdue.remove(&first.overdue)
+// popOverdue removes the timers of the requests whose start deadline has passed and which have no late rank yet, and returns
+// these requests in queue order. They stay in the queue. The next call reuses the slice.
+func (rankedQueue *rankedQueue) popOverdue(now clock.Moment) []*rankedWaiter {
+	found := rankedQueue.overdueBuffer[:0]
+	for first := rankedQueue.startDeadlines.due(now); first != nil && first.startDeadline < now; first = rankedQueue.startDeadlines.due(now) {
+		rankedQueue.startDeadlines.remove(&first.overdueTimer)
 		found = append(found, first)
 	}
 	slices.SortFunc(found, func(left, right *rankedWaiter) int {
-		return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.number, right.number))
+		return cmp.Or(cmp.Compare(left.rank, right.rank), cmp.Compare(left.sequence, right.sequence))
 	})
-	rankedQueue.found = found
+	rankedQueue.overdueBuffer = found
 	return found
 }
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -142,7 +142,7 @@
 			Target: &Target{Name: config.Name, Address: config.Address, DataCentre: config.DataCentre}, tokensAt: now, learningSince: now,
 			coldShare: &scheduler.coldShare, concurrencyModel: &scheduler.concurrencyModel,
 		}
-		existing.indexEntry.bucketEntry = bucketEntry[candidate]{item: existing, bucket: unlisted}
+		existing.indexEntry.bucketEntry = bucketEntry[candidate]{item: existing, bucket: notIndexed}
 		existing.indexEntry.reindexTimer.item = existing
 		scheduler.candidates[config.Name] = existing
 		scheduler.ordered = append(scheduler.ordered, existing)
@@ -230,8 +230,8 @@
 }
 
 // Acquire waits for a permit. The error is a *RefusedError or the error of the context.
-func (scheduler *Scheduler) Acquire(ctx context.Context, permitRequest Demand) (Place, error) {
-	permit, pendingPermit, err := scheduler.Enter(permitRequest)
+func (scheduler *Scheduler) Acquire(ctx context.Context, permitRequest PermitRequest) (Permit, error) {
+	permit, pendingPermit, err := scheduler.AcquireOrEnqueue(permitRequest)
 	if pendingPermit == nil {
 		return permit, err
 	}
@@ -251,7 +251,7 @@
 	if scheduler.waiting.length == 0 {
 		return
 	}
-	scheduler.demote(now)
+	scheduler.demoteOverdue(now)
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		permit, found := scheduler.acquireNow(now, waiter)
 		if !found {
@@ -260,7 +260,7 @@
 			return scheduler.anyFastAvailable(now)
 		}
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{place: permit}
+		waiter.done <- scheduledGrant{permit: permit}
 		return true
 	})
 }
@@ -268,7 +268,7 @@
 func (scheduler *Scheduler) refuseAll(reason error) {
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, RetryAfter: comeBackNoTarget}}
+		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, RetryAfter: retryAfterNoTarget}}
 		return true
 	})
 }
@@ -281,17 +281,17 @@
 	states := make([]TargetState, 0, len(scheduler.ordered))
 	for _, candidate := range scheduler.ordered {
 		states = append(states, TargetState{
-			Name: candidate.Name, Address: candidate.Address, DataCentre: candidate.DataCentre, Own: candidate.ownInFlight,
-			Others: candidate.othersInFlight(now), Limit: candidate.concurrencyLimit(), Failures: candidate.consecutiveFailures,
+			Name: candidate.Name, Address: candidate.Address, DataCentre: candidate.DataCentre, OwnInFlight: candidate.ownInFlight,
+			OthersInFlight: candidate.othersInFlight(now), Limit: candidate.concurrencyLimit(), Failures: candidate.consecutiveFailures,
 		})
 	}
 	return states, scheduler.waiting.length
 }
 
 // LoadReadingAge returns the age of the load reading on which the choice was based, 0 if there was none.
-func (permit Place) LoadReadingAge(now clock.Moment) clock.Milliseconds {
-	if permit.Reading.At == 0 {
+func (permit Permit) LoadReadingAge(now clock.Moment) clock.Milliseconds {
+	if permit.LoadReading.At == 0 {
 		return 0
 	}
-	return now.Since(permit.Reading.At)
+	return now.Since(permit.LoadReading.At)
 }
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -18,8 +18,8 @@
 	now            atomic.Int64
 	names          []settings.TargetName
 	nextReporting  int
-	permits        []Place
-	pendingPermits []*Ticket
+	permits        []Permit
+	pendingPermits []*PendingPermit
 }
 
 const (
@@ -76,15 +76,15 @@
 	}
 }
 
-func (fleet *benchFleet) permitRequest() Demand {
+func (fleet *benchFleet) permitRequest() PermitRequest {
 	now := fleet.moment()
-	return Demand{Class: "look", Priority: 1, Aim: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
+	return PermitRequest{Class: "look", Priority: 1, SoftDeadline: now.Add(40 * clock.Second), Deadline: now.Add(60 * clock.Second)}
 }
 
 // fill acquires the given part of all permits.
 func (fleet *benchFleet) fill(b *testing.B, part float64) {
 	for range int(part * benchSlots * float64(len(fleet.names))) {
-		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+		permit, pendingPermit, err := fleet.scheduler.AcquireOrEnqueue(fleet.permitRequest())
 		if pendingPermit != nil || err != nil {
 			b.Fatal("no permit")
 		}
@@ -95,7 +95,7 @@
 // overfill acquires all permits and queues 500 more requests.
 func (fleet *benchFleet) overfill(b *testing.B) {
 	for len(fleet.pendingPermits) < 500 {
-		permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+		permit, pendingPermit, err := fleet.scheduler.AcquireOrEnqueue(fleet.permitRequest())
 		switch {
 		case err != nil:
 			b.Fatal(err)
@@ -141,11 +141,11 @@
 			fleet.fill(b, 0.4)
 			b.ReportAllocs()
 			for count := 1; b.Loop(); count++ {
-				permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+				permit, pendingPermit, err := fleet.scheduler.AcquireOrEnqueue(fleet.permitRequest())
 				if pendingPermit != nil || err != nil {
 					b.Fatal("no permit")
 				}
-				permit.since = permit.since.Add(-benchRequestDuration)
+				permit.acquiredAt = permit.acquiredAt.Add(-benchRequestDuration)
 				permit.Release(Succeeded)
 				fleet.pause(b, count)
 			}
@@ -159,13 +159,13 @@
 					fleet.release()
 					fleet.collect()
 				}
-				_, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+				_, pendingPermit, err := fleet.scheduler.AcquireOrEnqueue(fleet.permitRequest())
 				if err != nil {
 					b.Fatal(err)
 				}
 				if count%8 < 5 {
 					fleet.pendingPermits = append(fleet.pendingPermits, pendingPermit)
-				} else if _, err = pendingPermit.GiveUp(); err == nil {
+				} else if _, err = pendingPermit.Cancel(); err == nil {
 					b.Fatal("a permit for a request that gave up")
 				}
 				fleet.pause(b, count)
@@ -197,12 +197,12 @@
 			b.ResetTimer()
 			b.RunParallel(func(loop *testing.PB) {
 				for loop.Next() {
-					permit, pendingPermit, err := fleet.scheduler.Enter(fleet.permitRequest())
+					permit, pendingPermit, err := fleet.scheduler.AcquireOrEnqueue(fleet.permitRequest())
 					if pendingPermit != nil || err != nil {
 						b.Error("no permit")
 						return
 					}
-					permit.since = permit.since.Add(-benchRequestDuration)
+					permit.acquiredAt = permit.acquiredAt.Add(-benchRequestDuration)
 					permit.Release(Succeeded)
 				}
 			})
--- a/internal/service/slowdowncycle_test.go
+++ b/internal/service/slowdowncycle_test.go
@@ -104,7 +104,7 @@
 	for range 100 {
 		manual.Advance(20 * clock.Millisecond)
 		scheduler.Observe("own", LoadReading{At: manual.Now(), Slots: 6, Slowdown: 1, ColdKnown: true, ColdFor: clock.Second})
-		if permit, found := scheduler.TryAcquire(Demand{Class: "look", Aim: manual.Now().Add(clock.Second)}); found {
+		if permit, found := scheduler.TryAcquire(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second)}); found {
 			require.EqualValues(t, "own", permit.Target.Name)
 			acquired++
 			permit.Release(Cancelled)
@@ -125,7 +125,7 @@
 	config.Owned = true
 	scheduler.SetTargets([]TargetConfig{config})
 	manual.Advance(takeoverWait / 2)
-	_, found := scheduler.TryAcquire(Demand{Class: "look"})
+	_, found := scheduler.TryAcquire(PermitRequest{Class: "look"})
 	require.False(t, found)
 }
 
@@ -143,7 +143,7 @@
 	manual.Advance(clock.Second)
 	scheduler.Observe("cold", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 2, SteadyFor: 299, Period: 300, ColdKnown: true, ColdFor: 2 * clock.Second})
 	scheduler.Observe("slow", LoadReading{At: manual.Now(), Slots: 2, Slowdown: 5, SteadyFor: 290, Period: 300, ColdKnown: true})
-	permit, err := scheduler.Acquire(t.Context(), Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+	permit, err := scheduler.Acquire(t.Context(), PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 	require.NoError(t, err)
 	require.EqualValues(t, "cold", permit.Target.Name)
 }
@@ -175,7 +175,7 @@
 			}
 			scheduler.candidates["a"].slowdownCycle.preciseChanges = minPreciseChanges
 			for range testCase.acquired {
-				_, _, err := scheduler.Enter(Demand{Class: "look", Aim: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
+				_, _, err := scheduler.AcquireOrEnqueue(PermitRequest{Class: "look", SoftDeadline: manual.Now().Add(clock.Second), Deadline: manual.Now().Add(clock.Second)})
 				require.NoError(t, err)
 			}
 			require.InDelta(t, float64(testCase.probeIn), float64(scheduler.NextProbe("a", 30, 45)), 0.01)
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -5,84 +5,85 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// levels is how finely the share of taken places is told apart; one bit of a word stands for each.
-const levels = 64
+// bucketCount is the number of buckets into which targets are sorted by utilization; each has one bit of a 64-bit word.
+const bucketCount = 64
 
-// unlisted is the level of a target that can take no further request.
-const unlisted = -1
+// notIndexed is the bucket of a target that cannot accept another request.
+const notIndexed = -1
 
-// Target is one backend server as this instance sees it. All fields below its identity are guarded by the
+// Target is one backend server from the point of view of this instance. All fields after its identity are guarded by the
 // Dispatcher's mutex.
 type Target struct {
 	Name       settings.TargetName
 	Address    string
 	DataCentre settings.DataCentreName
 
-	// own counts the places that requests of this instance have taken.
-	own int
-	// held counts places kept taken for a while after a failure.
-	held int
-	// others counts the places that other instances said they have taken.
-	others int
-	// limit is the number of places that all instances together should take.
+	// ownInFlight is the number of permits in use by requests of this instance.
+	ownInFlight int
+	// penaltyPermits is the number of permits withheld for a while after failures.
+	penaltyPermits int
+	// othersInFlight is the number of permits in use by other instances, as last reported by them.
+	othersInFlight int
+	// limit is the maximum number of permits for all instances together.
 	limit int
-	// shareLeast is the number of places that this instance may take whatever others said, since what they said is
-	// always a little old. It is 0 on a target that is not safe to overrun.
-	shareLeast int
-	// ownMost is the number of places that this instance may never exceed.
-	ownMost int
-	// failures counts failed requests since the last success.
-	failures int
-	// removed says that no new request may go to it; the record stays until the last one in flight has ended.
+	// minShare is the number of permits that this instance may use regardless of the reports of other instances, since these
+	// are always slightly out of date. It is 0 on a target that must not be overrun.
+	minShare int
+	// maxOwnInFlight is the maximum number of permits for this instance, which it never exceeds.
+	maxOwnInFlight int
+	// consecutiveFailures is the number of failed requests since the last success.
+	consecutiveFailures int
+	// removed is true for a target that gets no new requests. The record is kept until the last request in flight on it has
+	// ended.
 	removed bool
 
-	// reported is the load that it told of itself, for the baselines that go by it.
-	reported int
+	// reportedLoad is the load that the target last reported, for the baselines that use it.
+	reportedLoad int
 
-	// listing is where it stands among the targets by the share of places taken.
-	listing bucketEntry[Target]
+	// bucketEntry is the target's entry in the index by utilization.
+	bucketEntry bucketEntry[Target]
 }
 
-// TargetLimit is what the control goroutine decides about a target.
+// TargetLimit holds the limits that the control goroutine sets for a target.
 type TargetLimit struct {
-	// Limit is the number of places that all instances together should take.
+	// Limit is the maximum number of permits for all instances together.
 	Limit int
-	// ShareLeast is the number of places this instance may take whatever others take.
-	ShareLeast int
-	// OwnMost is the number of places this instance never exceeds.
-	OwnMost int
+	// MinShare is the number of permits that this instance may use regardless of what other instances use.
+	MinShare int
+	// MaxOwnInFlight is the maximum number of permits for this instance, which it never exceeds.
+	MaxOwnInFlight int
 }
 
-// taken is the number of places in use as far as this instance knows.
-func (target *Target) taken() int {
-	return target.own + target.held + target.others
+// inFlight returns the number of permits in use as far as this instance knows, penalties included.
+func (target *Target) inFlight() int {
+	return target.ownInFlight + target.penaltyPermits + target.othersInFlight
 }
 
-// limitNow returns the limit in force: a target that keeps failing is tried by one request at a time.
-func (target *Target) limitNow(failing bool) int {
+// effectiveLimit returns the limit in force: a target that keeps failing gets one request at a time.
+func (target *Target) effectiveLimit(failing bool) int {
 	if failing {
 		return min(target.limit, 1)
 	}
 	return target.limit
 }
 
-// computeLevel returns the level at which target is to be listed.
-func (target *Target) computeLevel(failing bool) int {
-	mine := target.own + target.held
-	limit := target.limitNow(failing)
-	if mine >= target.ownMost || limit == 0 {
-		return unlisted
+// computeBucket returns the bucket in which the target is indexed, or notIndexed.
+func (target *Target) computeBucket(failing bool) int {
+	own := target.ownInFlight + target.penaltyPermits
+	limit := target.effectiveLimit(failing)
+	if own >= target.maxOwnInFlight || limit == 0 {
+		return notIndexed
 	}
-	if taken := target.taken(); taken < limit {
-		return taken * levels / limit
+	if inFlight := target.inFlight(); inFlight < limit {
+		return inFlight * bucketCount / limit
 	}
-	if !failing && mine < target.shareLeast {
-		return levels - 1
+	if !failing && own < target.minShare {
+		return bucketCount - 1
 	}
-	return unlisted
+	return notIndexed
 }
 
-// penalty is a place kept taken until a moment.
+// penalty is a permit that is withheld until a moment.
 type penalty struct {
 	target *Target
 	until  clock.Moment
