--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -83,8 +83,8 @@
 	// behindTimeout is how long a peer may have a newer revision before this instance catches up: its own watch has gone
 	// silent.
 	behindTimeout = 700 * clock.Millisecond
-	// versionBehindTimeout is the same for a newer configuration, in which keys may have been revoked. It is longer than the
-	// pause that a reader makes after changes.
+	// versionBehindTimeout replaces behindTimeout for a newer configuration, in which keys may have been revoked. It is longer
+	// than the pause that a reader makes after changes.
 	versionBehindTimeout = 380 * clock.Millisecond
 )
 
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -21,13 +21,13 @@
 	reporterTimeout = clock.Second
 	// maxPeerSilence is how long a serving peer may be silent and still count as receiving the reports of this instance.
 	maxPeerSilence = 200 * clock.Millisecond
-	// maxPeerSilenceIdle is the same while no instance reports: heartbeats arrive every 250 ms.
+	// maxPeerSilenceIdle replaces maxPeerSilence while no instance reports: heartbeats arrive every 250 ms.
 	maxPeerSilenceIdle = 600 * clock.Millisecond
 	// emptyReportInterval is the interval at which an instance with nothing to report sends empty reports while other
 	// instances report, to show that it receives their reports.
 	emptyReportInterval = 100 * clock.Millisecond
-	// maxPeerSilenceStandby is the same at an instance that does not serve, which receives a message of each of the others
-	// once a second.
+	// maxPeerSilenceStandby replaces maxPeerSilence at an instance that does not serve, which receives a message of each of
+	// the others once a second.
 	maxPeerSilenceStandby = 1500 * clock.Millisecond
 	// quotaShareInterval is the interval at which the quota share is computed.
 	quotaShareInterval = 50 * clock.Millisecond
@@ -54,8 +54,8 @@
 	nextReport, reportedAt clock.Moment
 	// nextQuotaShare is when the quota share is next computed.
 	nextQuotaShare clock.Moment
-	// freshAt is when this instance or a peer known to it last had a fresh view, keyStatus the resulting status of the API
-	// keys.
+	// freshAt is when this instance, or a peer whose heartbeats it receives, last had a fresh view; keyStatus is the resulting
+	// status of the API keys.
 	freshAt   clock.Moment
 	keyStatus atomic.Int32
 }
