--- a/internal/catalog/apply.go
+++ b/internal/catalog/apply.go
@@ -69,8 +69,8 @@
 	case item.Server != nil:
 		delete(reader.lapsed, item.Key)
 		reader.servers[item.Key] = *item.Server
-	case item.Out != "":
-		reader.out[item.Key] = item.Out
+	case item.Evacuated != "":
+		reader.out[item.Key] = item.Evacuated
 	}
 }
 
@@ -81,8 +81,8 @@
 	}
 	reader.configuration = configuration
 	reader.options.Log.Info().Uint64("version", uint64(configuration.Version)).Int("routes", len(configuration.Routes)).Msg("configuration in force")
-	for _, doubt := range configuration.Doubts {
-		reader.options.Events.Add(EventDoubt, 1)
+	for _, doubt := range configuration.Warnings {
+		reader.options.Events.Add(EventWarning, 1)
 		reader.options.Log.Warn().Uint64("version", uint64(configuration.Version)).Str("problem", doubt).Msg("configuration not understood in part")
 	}
 }
@@ -127,7 +127,7 @@
 	for _, key := range slices.Sorted(maps.Keys(reader.servers)) {
 		view.Servers = append(view.Servers, reader.servers[key])
 	}
-	view.Out = slices.Sorted(maps.Values(reader.out))
-	view.HeldUntil = reader.heldUntil()
+	view.Evacuated = slices.Sorted(maps.Values(reader.out))
+	view.RetainedUntil = reader.heldUntil()
 	return view
 }
--- a/internal/catalog/catchup_test.go
+++ b/internal/catalog/catchup_test.go
@@ -34,14 +34,14 @@
 		published := make(chan View, 64)
 		reader := NewReader(Options{
 			Source: slowSource(600 * clock.Millisecond), Clock: clock.New(), Events: new(expvar.Map).Init(), Log: zerolog.Nop(),
-			FromPeer: func(context.Context, Revision) (Update, error) { return Update{}, ErrEncoding },
-			Publish:  func(_ context.Context, view View) error { published <- view; return nil },
-			Jitter:   func() float64 { return 0.5 },
+			FetchFromPeer: func(context.Context, Revision) (Update, error) { return Update{}, ErrEncoding },
+			Publish:       func(_ context.Context, view View) error { published <- view; return nil },
+			Jitter:        func() float64 { return 0.5 },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		served := make(chan error, 1)
 		go func() { served <- reader.Serve(ctx) }()
-		reader.SetRole(RoleLead)
+		reader.SetRole(RoleLeader)
 		for range 8 {
 			time.Sleep(380 * time.Millisecond)
 			reader.CatchUp(9)
--- a/internal/catalog/encoding_test.go
+++ b/internal/catalog/encoding_test.go
@@ -17,12 +17,12 @@
 func largeUpdate(servers, routes int) Update {
 	random := rand.New(rand.NewPCG(uint64(servers), uint64(routes)))
 	update := Update{Revision: 900, Configuration: &Configuration{
-		Version: 12, Services: map[settings.ServiceName]ServiceLimits{"lookups": {ProbePath: "/health", ConnectionsMost: 40, ColdRate: 2.7}},
+		Version: 12, Services: map[settings.ServiceName]ServiceLimits{"lookups": {ProbePath: "/health", MaxConnections: 40, ColdRate: 2.7}},
 	}}
 	for number := range routes {
 		update.Configuration.Routes = append(update.Configuration.Routes, Route{
 			Name: settings.ClassName(fmt.Sprintf("route-%d", number)), Host: "bookings.example", Prefix: fmt.Sprintf("/%x/", random.Uint64()),
-			Idempotent: true, Timeout: 5 * clock.Second, Aim: 1500, Attempts: 2, Priority: 2, Split: []Share{{Service: "lookups", Weight: 1}},
+			Idempotent: true, Timeout: 5 * clock.Second, SoftDeadline: 1500, Attempts: 2, Priority: 2, Split: []Share{{Service: "lookups", Weight: 1}},
 		})
 	}
 	for number := range servers {
@@ -37,7 +37,7 @@
 
 func TestUpdateIsReadAsItWasTold(t *testing.T) {
 	cases := []Update{
-		{Revision: 7, Since: 6, Removed: []settings.TargetName{"one"}, Out: []settings.DataCentreName{"sofia-1"}, Digest: 3, HeldFor: 700.5},
+		{Revision: 7, Since: 6, Removed: []settings.TargetName{"one"}, Evacuated: []settings.DataCentreName{"sofia-1"}, Digest: 3, RetainedFor: 700.5},
 		largeUpdate(540, 20), largeUpdate(3, 1400),
 	}
 	for _, update := range cases {
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -50,7 +50,7 @@
 	if known || view.Configuration == nil {
 		return
 	}
-	reader.askAgain = view.HeldUntil
+	reader.askAgain = view.RetainedUntil
 	reader.refreshing = reader.refreshing && !again
 	reader.options.Events.Add(EventFromPeer, 1)
 	reader.options.Log.Debug().Uint64("revision", uint64(view.Revision)).Uint64("before", uint64(reader.revision)).Msg("view taken from a peer")
@@ -61,8 +61,8 @@
 	for _, server := range view.Servers {
 		reader.servers[ServerKey(server.Name)] = server
 	}
-	for _, name := range view.Out {
-		reader.out[OutKey(name)] = name
+	for _, name := range view.Evacuated {
+		reader.out[EvacuationKey(name)] = name
 	}
 	reader.revision = view.Revision
 	// What the source holds beyond that is only known once everything has been read.
@@ -111,7 +111,7 @@
 	if again || reader.configuration == nil {
 		after = 0
 	}
-	update, err := reader.options.FromPeer(ctx, after)
+	update, err := reader.options.FetchFromPeer(ctx, after)
 	if err != nil {
 		return View{}, err
 	}
@@ -121,15 +121,15 @@
 	}
 	view, err := update.Apply(&base)
 	if !errors.Is(err, ErrMismatch) || after == 0 {
-		view.HeldUntil = reader.until(update.HeldFor)
+		view.RetainedUntil = reader.until(update.RetainedFor)
 		return view, err
 	}
 	reader.options.Events.Add(EventMismatch, 1)
-	if update, err = reader.options.FromPeer(ctx, 0); err != nil {
+	if update, err = reader.options.FetchFromPeer(ctx, 0); err != nil {
 		return View{}, err
 	}
 	view, err = update.Apply(&base)
-	view.HeldUntil = reader.until(update.HeldFor)
+	view.RetainedUntil = reader.until(update.RetainedFor)
 	return view, err
 }
 
--- a/internal/catalog/held_test.go
+++ b/internal/catalog/held_test.go
@@ -16,7 +16,7 @@
 	for later := range 10 {
 		synctest.Test(t, func(t *testing.T) {
 			bench := newBench(t)
-			bench.reader.SetRole(RoleLead)
+			bench.reader.SetRole(RoleLeader)
 			pass(clock.Second)
 			bench.source.setFaults(true, false)
 			pass(6*clock.Second + clock.Milliseconds(later)*300)
@@ -32,7 +32,7 @@
 func TestReaderThatIsBackGoesByItsPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(7 * clock.Second)
@@ -54,7 +54,7 @@
 func TestHeldServerIsDroppedByOneThatFollowsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleStandIn)
+		bench.reader.SetRole(RoleFallback)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(8 * clock.Second)
@@ -66,7 +66,7 @@
 		}
 		pass(100)
 		require.Equal(t, []string{"one", "two"}, bench.names())
-		bench.reader.SetRole(RoleFollow)
+		bench.reader.SetRole(RoleFollower)
 		pass(returnWithin)
 		require.Equal(t, []string{"two"}, bench.names())
 	})
@@ -80,7 +80,7 @@
 		asked := 0
 		held := View{Revision: 7, Configuration: &Configuration{Version: 1}, Servers: []Server{{Name: "one"}, {Name: "two"}}}
 		history := NewHistory()
-		bench.reader.options.FromPeer = func(_ context.Context, after Revision) (Update, error) {
+		bench.reader.options.FetchFromPeer = func(_ context.Context, after Revision) (Update, error) {
 			asked++
 			view := held
 			var heldFor clock.Milliseconds = 700
@@ -88,9 +88,9 @@
 				view.Servers = view.Servers[:1]
 				heldFor = 0
 			}
-			history.Note(&view)
-			update := history.Since(after)
-			update.HeldFor = heldFor
+			history.Record(&view)
+			update := history.UpdateSince(after)
+			update.RetainedFor = heldFor
 			return update, nil
 		}
 		bench.reader.Follow(7)
@@ -132,7 +132,7 @@
 	for later := range 12 {
 		synctest.Test(t, func(t *testing.T) {
 			bench := newBench(t)
-			bench.reader.SetRole(RoleLead)
+			bench.reader.SetRole(RoleLeader)
 			pass(clock.Second)
 			bench.source.setFaults(true, false)
 			pass(clock.Second)
@@ -149,7 +149,7 @@
 func TestServerThatWasLeavingIsNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(4 * clock.Second)
--- a/internal/catalog/item.go
+++ b/internal/catalog/item.go
@@ -18,8 +18,8 @@
 	return Key("server/" + name)
 }
 
-// OutKey is the key of the word that a data centre is out.
-func OutKey(name settings.DataCentreName) Key {
+// EvacuationKey is the key of the word that a data centre is out.
+func EvacuationKey(name settings.DataCentreName) Key {
 	return Key("out/" + name)
 }
 
@@ -29,7 +29,7 @@
 	Key           Key
 	Configuration *Configuration
 	Server        *Server
-	Out           settings.DataCentreName
+	Evacuated     settings.DataCentreName
 	// Problem says why an item that should concern jaywheel was not understood. It then counts as not being there.
 	Problem error
 }
@@ -47,8 +47,8 @@
 	Removed  []Key
 }
 
-// ErrGone says that a source no longer knows what has changed since the revision asked for.
-var ErrGone = errors.New("the changes since that revision are no longer known")
+// ErrCompacted says that a source no longer knows what has changed since the revision asked for.
+var ErrCompacted = errors.New("the changes since that revision are no longer known")
 
 // Source is a platform's store, read only. Its fields are functions so that a test can put anything in its place.
 type Source struct {
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -64,15 +64,15 @@
 	EventPeerFailed = "catalog.peerFailed"
 	EventMismatch   = "catalog.mismatch"
 	EventUnreadable = "catalog.unreadable"
-	EventDoubt      = "catalog.doubt"
+	EventWarning    = "catalog.doubt"
 )
 
 // Options are what a Reader is made from.
 type Options struct {
 	Source Source
-	// FromPeer asks another instance what has changed after a revision, or for everything when that is 0. The other one's
+	// FetchFromPeer asks another instance what has changed after a revision, or for everything when that is 0. The other one's
 	// view may be older than one's own.
-	FromPeer func(ctx context.Context, after Revision) (Update, error)
+	FetchFromPeer func(ctx context.Context, after Revision) (Update, error)
 	// Publish takes each new view.
 	Publish func(ctx context.Context, view View) error
 	Clock   *clock.Clock
@@ -130,12 +130,12 @@
 
 // The roles of a reader.
 const (
-	// RoleFollow takes the views of peers.
-	RoleFollow Role = iota
-	// RoleStandIn reads the source for want of a peer that does, and takes its time when it is not answered.
-	RoleStandIn
-	// RoleLead reads the source for all.
-	RoleLead
+	// RoleFollower takes the views of peers.
+	RoleFollower Role = iota
+	// RoleFallback reads the source for want of a peer that does, and takes its time when it is not answered.
+	RoleFallback
+	// RoleLeader reads the source for all.
+	RoleLeader
 )
 
 // Serve reads and watches until the context ends.
@@ -169,7 +169,7 @@
 	defer reader.mutex.Unlock()
 	refresh := reader.refresh
 	reader.refresh = false
-	return reader.role != RoleFollow, refresh
+	return reader.role != RoleFollower, refresh
 }
 
 // step makes one call to the source and publishes what came of it.
@@ -184,7 +184,7 @@
 	reader.setWatching(true)
 	changes, err := reader.options.Source.Watch(ctx, reader.revision, wait)
 	reader.setWatching(false)
-	if errors.Is(err, ErrGone) {
+	if errors.Is(err, ErrCompacted) {
 		reader.whole = false
 		reader.options.Log.Info().Uint64("revision", uint64(reader.revision)).Msg("history is gone, reading everything")
 		// A source that says so each time would be called without a pause.
--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -114,7 +114,7 @@
 			<-ctx.Done()
 			return Changes{}, ctx.Err()
 		case gone:
-			return Changes{}, ErrGone
+			return Changes{}, ErrCompacted
 		case len(changes.Set)+len(changes.Removed) > 0:
 			return changes, nil
 		}
@@ -157,15 +157,15 @@
 	bench := &bench{source: &source{revision: 5, items: map[Key]Item{}, changed: make(chan struct{})}}
 	bench.reader = NewReader(Options{
 		Source: Source{ReadAll: bench.source.readAll, ReadStale: bench.source.readAll, Watch: bench.source.watch},
-		FromPeer: func(_ context.Context, after Revision) (Update, error) {
+		FetchFromPeer: func(_ context.Context, after Revision) (Update, error) {
 			bench.mutex.Lock()
 			defer bench.mutex.Unlock()
 			if bench.peer == nil {
 				return Update{}, errNoPeerHere
 			}
 			history := NewHistory()
-			history.Note(bench.peer)
-			return history.Since(after), nil
+			history.Record(bench.peer)
+			return history.UpdateSince(after), nil
 		},
 		Publish: func(_ context.Context, view View) error {
 			bench.mutex.Lock()
@@ -210,17 +210,17 @@
 		bench := newBench(t)
 		pass(clock.Second)
 		require.Zero(t, bench.last().Revision, "a reader that follows reads nothing by itself")
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		require.Equal(t, []string{"one", "two"}, bench.names())
 		bench.source.set(configurationItem(9))
 		bench.source.set(configurationItem(8))
 		bench.source.remove(ServerKey("one"))
-		bench.source.set(Item{Key: OutKey("sofia-1"), Out: "sofia-1"})
+		bench.source.set(Item{Key: EvacuationKey("sofia-1"), Evacuated: "sofia-1"})
 		pass(clock.Second)
 		require.EqualValues(t, 9, bench.last().Configuration.Version)
 		require.Equal(t, []string{"two"}, bench.names())
-		require.True(t, new(bench.last()).IsOut("sofia-1"))
+		require.True(t, new(bench.last()).IsEvacuated("sofia-1"))
 	})
 }
 
@@ -228,7 +228,7 @@
 func TestUnreadableEntryIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		bench.source.set(Item{Key: ServerKey("three"), Problem: errors.New("no JSON")})
 		pass(clock.Second)
 		require.Equal(t, []string{"one", "two"}, bench.names())
@@ -240,7 +240,7 @@
 func TestLostHistoryIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(false, true)
 		bench.source.remove(ServerKey("one"))
@@ -256,7 +256,7 @@
 func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(6 * clock.Second)
@@ -277,7 +277,7 @@
 func TestLapsedEntryIsDroppedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(6 * clock.Second)
@@ -298,7 +298,7 @@
 func TestPeerHelpsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		before := bench.last().Revision
@@ -321,7 +321,7 @@
 func TestRefusedReaderTakesOverWhatPeersKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		before := bench.last().Revision
 		bench.source.setFaults(true, false)
@@ -355,7 +355,7 @@
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Second)
 		bench.source.setFaults(true, false)
 		pass(clock.Second)
@@ -375,8 +375,8 @@
 		role        Role
 		least, most int
 	}{
-		{"stands in", RoleStandIn, 4, 7},
-		{"serves", RoleLead, 12, 24},
+		{"stands in", RoleFallback, 4, 7},
+		{"serves", RoleLeader, 12, 24},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -401,10 +401,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
 		bench.source.setRefuses(true)
-		bench.reader.SetRole(RoleStandIn)
+		bench.reader.SetRole(RoleFallback)
 		pass(4 * clock.Second)
 		bench.source.setRefuses(false)
-		bench.reader.SetRole(RoleLead)
+		bench.reader.SetRole(RoleLeader)
 		pass(clock.Millisecond)
 		require.Equal(t, []string{"one", "two"}, bench.names())
 	})
--- a/internal/catalog/retry.go
+++ b/internal/catalog/retry.go
@@ -35,7 +35,7 @@
 func (reader *Reader) backoff() clock.Milliseconds {
 	first, most := firstBackoff, mostBackoff
 	reader.mutex.Lock()
-	if reader.role == RoleStandIn {
+	if reader.role == RoleFallback {
 		first, most = firstBackoffStandby, mostBackoffStandby
 	}
 	reader.mutex.Unlock()
@@ -79,5 +79,5 @@
 	}
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.role == RoleFollow || reader.refresh
+	return reader.role == RoleFollower || reader.refresh
 }
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -15,14 +15,14 @@
 	before := reader.role
 	reader.role = role
 	cancel := reader.cancelIO
-	if role == RoleFollow && before != RoleFollow {
+	if role == RoleFollower && before != RoleFollower {
 		reader.peerFailing = false
 	}
 	reader.mutex.Unlock()
 	if role == before {
 		return
 	}
-	if (role == RoleFollow || before == RoleFollow) && cancel != nil {
+	if (role == RoleFollower || before == RoleFollower) && cancel != nil {
 		cancel()
 	}
 	reader.nudge()
--- a/internal/catalog/update.go
+++ b/internal/catalog/update.go
@@ -24,14 +24,14 @@
 	Configuration *Configuration
 	Servers       []Server
 	Removed       []settings.TargetName
-	Out           []settings.DataCentreName
+	Evacuated     []settings.DataCentreName
 	// Digest is that of all servers after the update. Two instances that read the source differ for a while in the servers
 	// that they keep after an outage; an update of the one to the view of the other would leave servers behind that nobody
 	// ever removes, and requests would be sent to them.
 	Digest Digest
-	// HeldFor is the time after which the update may hold no more although nothing changes in the source, 0 when that is not so: some
+	// RetainedFor is the time after which the update may hold no more although nothing changes in the source, 0 when that is not so: some
 	// servers are kept for a while after an outage.
-	HeldFor clock.Milliseconds
+	RetainedFor clock.Milliseconds
 }
 
 // Digest stands for a set of servers.
@@ -42,7 +42,7 @@
 
 // Apply returns the view after the update. The error is ErrMismatch.
 func (update *Update) Apply(base *View) (View, error) {
-	view := View{Revision: update.Revision, Configuration: update.Configuration, Out: update.Out}
+	view := View{Revision: update.Revision, Configuration: update.Configuration, Evacuated: update.Evacuated}
 	if update.Since == 0 {
 		view.Servers = update.Servers
 		return view, update.check(&view)
@@ -128,8 +128,8 @@
 	return &History{servers: map[settings.TargetName]dated{}, removed: map[settings.TargetName]Revision{}}
 }
 
-// Note takes a newer view.
-func (history *History) Note(view *View) {
+// Record takes a newer view.
+func (history *History) Record(view *View) {
 	if history.view == nil || len(history.removed) > removedMost {
 		history.from = view.Revision
 		clear(history.removed)
@@ -156,9 +156,9 @@
 	history.digest = digestOf(view.Servers)
 }
 
-// Since returns what has changed after a revision, or everything when that is not known. It must not be called before Note.
-func (history *History) Since(after Revision) Update {
-	update := Update{Revision: history.view.Revision, Out: history.view.Out, Digest: history.digest}
+// UpdateSince returns what has changed after a revision, or everything when that is not known. It must not be called before Note.
+func (history *History) UpdateSince(after Revision) Update {
+	update := Update{Revision: history.view.Revision, Evacuated: history.view.Evacuated, Digest: history.digest}
 	if after == 0 || after < history.from || after > history.view.Revision {
 		update.Configuration = history.view.Configuration
 		update.Servers = history.view.Servers
--- a/internal/catalog/update_test.go
+++ b/internal/catalog/update_test.go
@@ -49,11 +49,11 @@
 		teller := newTeller(random, 200)
 		var known View
 		for index := range teller.views {
-			teller.history.Note(&teller.views[index])
+			teller.history.Record(&teller.views[index])
 			if random.IntN(4) > 0 {
 				continue
 			}
-			update := teller.history.Since(known.Revision)
+			update := teller.history.UpdateSince(known.Revision)
 			view, err := update.Apply(&known)
 			require.NoError(t, err)
 			require.Equal(t, teller.views[index].Configuration, view.Configuration)
@@ -70,8 +70,8 @@
 	kept := Server{Name: "kept", State: ServerReady}
 	stays := Server{Name: "stays", State: ServerReady}
 	history := NewHistory()
-	history.Note(&View{Revision: 4, Configuration: configuration, Servers: []Server{stays}})
-	history.Note(&View{Revision: 6, Configuration: configuration, Servers: []Server{stays}})
+	history.Record(&View{Revision: 4, Configuration: configuration, Servers: []Server{stays}})
+	history.Record(&View{Revision: 6, Configuration: configuration, Servers: []Server{stays}})
 	cases := []struct {
 		name string
 		base View
@@ -83,7 +83,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			update := history.Since(5)
+			update := history.UpdateSince(5)
 			view, err := update.Apply(&testCase.base)
 			if !testCase.fits {
 				require.ErrorIs(t, err, ErrMismatch)
@@ -93,7 +93,7 @@
 			require.Equal(t, []Server{stays}, view.Servers)
 		})
 	}
-	whole := history.Since(3)
+	whole := history.UpdateSince(3)
 	require.Zero(t, whole.Since, "changes since before the history began are not known")
 	view, err := whole.Apply(&View{Revision: 3, Servers: []Server{kept}})
 	require.NoError(t, err)
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -24,8 +24,8 @@
 	// NeedsKeys says that requests need the API key of one of the teams, on all routes that are not public.
 	NeedsKeys bool
 	Teams     []team.Team
-	// Doubts say what in it was not understood, and what stands in for it. They are for the log of whoever read the source.
-	Doubts []string `cbor:"-"`
+	// Warnings say what in it was not understood, and what stands in for it. They are for the log of whoever read the source.
+	Warnings []string `cbor:"-"`
 }
 
 // Route sends the requests of a host below a path prefix to one service, or splits them.
@@ -40,8 +40,8 @@
 	Idempotent bool
 	// Timeout is the longest time that a request may be kept without its final answer.
 	Timeout clock.Milliseconds
-	// Aim is the time within which an answer is worth most.
-	Aim clock.Milliseconds
+	// SoftDeadline is the time within which an answer is worth most.
+	SoftDeadline clock.Milliseconds
 	// Attempts is the largest number of backend servers that one request may be sent to.
 	Attempts int
 	Priority settings.Priority
@@ -65,8 +65,8 @@
 
 	// ProbePath is empty when servers are not to be probed.
 	ProbePath string
-	// ConnectionsMost is the number of connections that one backend server takes from all callers together.
-	ConnectionsMost int
+	// MaxConnections is the number of connections that one backend server takes from all callers together.
+	MaxConnections int
 	// ColdRate is how many requests a second a cold backend server bears.
 	ColdRate float64
 }
@@ -101,12 +101,12 @@
 	Revision      Revision
 	Configuration *Configuration
 	Servers       []Server
-	Out           []settings.DataCentreName
-	// HeldUntil is when the first of the servers is dropped whose entries are gone and may only have lapsed, 0 when there is none.
-	HeldUntil clock.Moment `cbor:"-"`
+	Evacuated     []settings.DataCentreName
+	// RetainedUntil is when the first of the servers is dropped whose entries are gone and may only have lapsed, 0 when there is none.
+	RetainedUntil clock.Moment `cbor:"-"`
 }
 
-// IsOut reports whether operators have taken the data centre out.
-func (view *View) IsOut(name settings.DataCentreName) bool {
-	return slices.Contains(view.Out, name)
+// IsEvacuated reports whether operators have taken the data centre out.
+func (view *View) IsEvacuated(name settings.DataCentreName) bool {
+	return slices.Contains(view.Evacuated, name)
 }
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -29,7 +29,7 @@
 	}
 	named := make([]membership.Identity, 0, len(controller.serving))
 	for _, identity := range controller.serving {
-		if !controller.view.IsOut(identity.DataCentre) {
+		if !controller.view.IsEvacuated(identity.DataCentre) {
 			named = append(named, identity)
 		}
 	}
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -167,7 +167,7 @@
 	for index, testCase := range cases {
 		changed := view(30, fixtureDataCentres)
 		changed.Revision = catalog.Revision(index + 2)
-		changed.Out = testCase.out
+		changed.Evacuated = testCase.out
 		fixture.controller.applyView(changed)
 		var expected []string
 		for _, number := range testCase.named {
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -60,7 +60,7 @@
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
 	fixture.controller.SetFeed(Feed{
-		SetRole: func(role catalog.Role) { fixture.leads = role != catalog.RoleFollow }, Follow: func(revision catalog.Revision) { fixture.follows = revision },
+		SetRole: func(role catalog.Role) { fixture.leads = role != catalog.RoleFollower }, Follow: func(revision catalog.Revision) { fixture.follows = revision },
 		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
 		Contact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -16,7 +16,7 @@
 		controller.role = role
 		controller.feed.SetRole(role)
 	}
-	leads := role != catalog.RoleFollow
+	leads := role != catalog.RoleFollower
 	switch {
 	case leads:
 		controller.seekHelp(now)
@@ -38,13 +38,13 @@
 	silent := leaders.LastSeen > 0 && now.Since(max(leaders.LastSeen, controller.started)) >= silentLead || controller.missesUpdate()
 	switch {
 	case serves || controller.view == nil && controller.startsAlone(now):
-		return catalog.RoleLead
+		return catalog.RoleLeader
 	case silent:
-		return catalog.RoleStandIn
+		return catalog.RoleFallback
 	case controller.unledFrom > 0 && now.Since(controller.unledFrom) >= controller.unledMost() && now.Since(controller.started) >= restartAlone:
-		return catalog.RoleStandIn
+		return catalog.RoleFallback
 	default:
-		return catalog.RoleFollow
+		return catalog.RoleFollower
 	}
 }
 
@@ -101,7 +101,7 @@
 		}
 	}
 	contact := controller.feed.Contact()
-	fresh := controller.role != catalog.RoleFollow && !controller.feed.Failing() && contact > 0 && now.Since(contact) < freshWithin
+	fresh := controller.role != catalog.RoleFollower && !controller.feed.Failing() && contact > 0 && now.Since(contact) < freshWithin
 	controller.members.SetCatalog(revision, version, fresh)
 }
 
@@ -112,7 +112,7 @@
 // checkBehind reads everything anew when a serving peer has known a newer revision for a while.
 func (controller *Controller) checkBehind(now clock.Moment) {
 	newer, behindMost := false, behindFor
-	if controller.role != catalog.RoleFollow && controller.view != nil {
+	if controller.role != catalog.RoleFollower && controller.view != nil {
 		newer = controller.members.Leaders().NewestRevision > controller.view.Revision
 		if controller.versionBehind() {
 			behindMost = versionBehindFor
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -73,7 +73,7 @@
 	state := controller.members.State()
 	status := Status{
 		Instance: controller.options.Self.Name, DataCentre: controller.options.Self.DataCentre, State: state.String(), Ready: controller.Ready(),
-		Leaving: state == membership.Leaving, Reads: controller.role != catalog.RoleFollow,
+		Leaving: state == membership.Leaving, Reads: controller.role != catalog.RoleFollower,
 	}
 	if controller.view != nil {
 		status.Revision = controller.view.Revision
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -23,8 +23,8 @@
 		if controller.view == nil {
 			return nil
 		}
-		update := controller.history.Since(after)
-		update.HeldFor = controller.heldFor()
+		update := controller.history.UpdateSince(after)
+		update.RetainedFor = controller.heldFor()
 		return &update
 	})
 	if err != nil {
@@ -41,10 +41,10 @@
 
 // heldFor is the time after which the view may change although the store's revision does not.
 func (controller *Controller) heldFor() clock.Milliseconds {
-	if controller.view.HeldUntil == 0 {
+	if controller.view.RetainedUntil == 0 {
 		return 0
 	}
-	return max(controller.view.HeldUntil.Since(controller.options.Clock.Now()), heldLeast)
+	return max(controller.view.RetainedUntil.Since(controller.options.Clock.Now()), heldLeast)
 }
 
 // updateTimeout bounds asking a peer for what has changed since a revision: a few backend servers, mostly.
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -52,7 +52,7 @@
 	}
 	controller.view = view
 	controller.viewAt = now
-	controller.history.Note(view)
+	controller.history.Record(view)
 	controller.publish()
 }
 
@@ -112,7 +112,7 @@
 	state.budget.SetMost(controller.options.Bounds.RetrySlack / budgetShares)
 	state.settings = &settings.Service{
 		Revision:             settings.Revision(controller.view.Configuration.Version),
-		ConnectionsPerTarget: limits.ConnectionsMost,
+		ConnectionsPerTarget: limits.MaxConnections,
 		Queue:                settings.Queue{RetryAfter: refusedComeBack},
 		Retry:                settings.Retry{Attempts: 1},
 		Connections:          connections,
@@ -185,7 +185,7 @@
 		Name: server.Name, Address: server.Address, DataCentre: server.DataCentre, Slots: server.Slots,
 		Local:    server.DataCentre == controller.options.Self.DataCentre,
 		Owned:    controller.owners[server.Name] == controller.options.Self.Name,
-		Usable:   server.State == catalog.ServerReady && !controller.view.IsOut(server.DataCentre),
+		Usable:   server.State == catalog.ServerReady && !controller.view.IsEvacuated(server.DataCentre),
 		ColdRate: state.limits.ColdRate, ColdFor: server.ColdFor, Started: server.Started,
 	}
 }
@@ -199,7 +199,7 @@
 	}
 	controller.known[server.Name] = *server
 	controller.options.Servers.Set(server.Name, backendserver.Options{
-		Address: server.Address, ConnectionsMost: max(state.limits.ConnectionsMost/connectionShares, 4), Connections: connections,
+		Address: server.Address, ConnectionsMost: max(state.limits.MaxConnections/connectionShares, 4), Connections: connections,
 	})
 }
 
@@ -256,7 +256,7 @@
 	entry := &routing.Entry{Host: route.Host, Prefix: route.Prefix, Public: route.Public, Class: &routing.Class{
 		Name: route.Name,
 		Settings: settings.Class{
-			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, Aim: route.Aim, Attempts: route.Attempts,
+			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, Aim: route.SoftDeadline, Attempts: route.Attempts,
 			BodyMost: bodyMost,
 		},
 		Metrics: controller.options.Registry.Class(key),
--- a/internal/fleet/virtual_checks_test.go
+++ b/internal/fleet/virtual_checks_test.go
@@ -217,7 +217,7 @@
 		view := process.controller.view
 		for index := range view.Servers {
 			server := &view.Servers[index]
-			if due[server.Name] && server.State == catalog.ServerReady && !view.IsOut(server.DataCentre) {
+			if due[server.Name] && server.State == catalog.ServerReady && !view.IsEvacuated(server.DataCentre) {
 				left := checks.fleet.store.left[server.Name]
 				return fmt.Sprintf("still sends to %s, which left %s ago", server.Name, now.Since(left))
 			}
@@ -232,7 +232,7 @@
 			continue
 		}
 		if wrong := checks.inTouch(now, func(_ *machine, process *process) string {
-			if !process.controller.view.IsOut(name) {
+			if !process.controller.view.IsEvacuated(name) {
 				return fmt.Sprintf("still sends to %s, which is out since %s", name, now.Since(at))
 			}
 			return ""
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -61,7 +61,7 @@
 		SetJobs: func(jobs []sensing.Job) { process.jobs = jobs },
 	})
 	reader := catalog.NewReader(catalog.Options{
-		Source: fleet.store.source(process), FromPeer: process.fromPeer, Publish: process.controller.ViewRead,
+		Source: fleet.store.source(process), FetchFromPeer: process.fromPeer, Publish: process.controller.ViewRead,
 		Clock: own, Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: rand.New(rand.NewPCG(random.Uint64(), 2)).Float64,
 	})
 	process.controller.SetFeed(Feed{
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -137,7 +137,7 @@
 		switch {
 		case controller.Table() == nil:
 			return "has no routes"
-		case serves != (controller.role != catalog.RoleFollow):
+		case serves != (controller.role != catalog.RoleFollower):
 			return "reads the store if and only if it does not serve"
 		case unchanged && !maps.Equal(owners, controller.owners):
 			return fmt.Sprintf("takes others for the owners: %v, not %v", controller.owners, owners)
--- a/internal/fleet/virtual_store_test.go
+++ b/internal/fleet/virtual_store_test.go
@@ -125,11 +125,11 @@
 func (store *virtualStore) setOut(name settings.DataCentreName) {
 	if _, out := store.out[name]; out {
 		delete(store.out, name)
-		store.write(catalog.OutKey(name), nil)
+		store.write(catalog.EvacuationKey(name), nil)
 		return
 	}
 	store.out[name] = store.fleet.clock.Now()
-	store.write(catalog.OutKey(name), &catalog.Item{Out: name})
+	store.write(catalog.EvacuationKey(name), &catalog.Item{Evacuated: name})
 }
 
 // stable reports whether the store was undisturbed for long enough.
@@ -215,7 +215,7 @@
 		left := end.Since(store.fleet.clock.Now())
 		switch {
 		case !known:
-			return changes, errors.CombineErrors(process.pass(ctx, callTime), catalog.ErrGone)
+			return changes, errors.CombineErrors(process.pass(ctx, callTime), catalog.ErrCompacted)
 		case len(changes.Set)+len(changes.Removed) > 0 || left <= 0:
 			return changes, process.pass(ctx, callTime)
 		}
@@ -259,7 +259,7 @@
 }
 
 func same(left, right catalog.Item) bool {
-	return left.Server == right.Server && left.Configuration == right.Configuration && left.Out == right.Out
+	return left.Server == right.Server && left.Configuration == right.Configuration && left.Evacuated == right.Evacuated
 }
 
 // lapsedServer is a server whose entry has lapsed and that writes it anew.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 	peers := &peerReader{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	gateway.reader = catalog.NewReader(catalog.Options{
 		Source: gateway.options.Platform.Source, Publish: gateway.controller.ViewRead,
-		FromPeer: func(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
+		FetchFromPeer: func(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
 			return gateway.controller.FromPeer(ctx, after, peers.read)
 		},
 		Clock: gateway.clock, Events: events, Log: gateway.options.Log, Jitter: rand.Float64,
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -54,7 +54,7 @@
 	defer updateCache.mutex.Unlock()
 	last := &updateCache.update
 	same := updateCache.encoded != nil && last.Revision == update.Revision && last.Since == update.Since && last.Digest == update.Digest &&
-		last.Configuration == update.Configuration && last.HeldFor == 0 && update.HeldFor == 0
+		last.Configuration == update.Configuration && last.RetainedFor == 0 && update.RetainedFor == 0
 	if same {
 		return updateCache.encoded, nil
 	}
