--- a/internal/catalog/held_test.go
+++ b/internal/catalog/held_test.go
@@ -93,7 +93,7 @@
 			update.RetainedFor = heldFor
 			return update, nil
 		}
-		bench.reader.Follow(7)
+		bench.reader.SetPeerRevision(7)
 		pass(500)
 		require.Equal(t, []string{"one", "two"}, bench.names())
 		pass(clock.Second)
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
 		bench.peer = &View{Revision: 7, Configuration: &Configuration{Version: 1}, Servers: []Server{{Name: "one"}}}
-		bench.reader.Follow(7)
+		bench.reader.SetPeerRevision(7)
 		pass(clock.Second)
 		require.Equal(t, Revision(7), bench.last().Revision)
 		bench.mutex.Lock()
--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -330,7 +330,7 @@
 		bench.mutex.Lock()
 		bench.peer = &View{Revision: before + 1, Configuration: &Configuration{Version: 12}}
 		bench.mutex.Unlock()
-		bench.reader.Follow(before + 1)
+		bench.reader.SetPeerRevision(before + 1)
 		pass(1300)
 		require.EqualValues(t, 12, bench.last().Configuration.Version)
 		bench.source.setFaults(false, false)
@@ -344,7 +344,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		bench := newBench(t)
 		bench.peer = &View{Revision: 40, Configuration: &Configuration{Version: 3}}
-		bench.reader.Follow(40)
+		bench.reader.SetPeerRevision(40)
 		pass(clock.Second)
 		require.EqualValues(t, 3, bench.last().Configuration.Version)
 		require.Zero(t, bench.source.reads)
@@ -417,11 +417,11 @@
 		bench.reader.ReadStale()
 		pass(100)
 		require.Equal(t, []string{"one", "two"}, bench.names())
-		require.Zero(t, bench.reader.Contact(), "an old view does not tell that the source answers")
+		require.Zero(t, bench.reader.LastContact(), "an old view does not tell that the source answers")
 		bench.mutex.Lock()
 		bench.peer = &View{Revision: bench.view.Revision + 2, Configuration: &Configuration{Version: 9}, Servers: []Server{{Name: "three"}}}
 		bench.mutex.Unlock()
-		bench.reader.Follow(bench.last().Revision + 2)
+		bench.reader.SetPeerRevision(bench.last().Revision + 2)
 		pass(500)
 		require.Equal(t, []string{"three"}, bench.names())
 		reads := bench.source.reads
--- a/internal/catalog/retry.go
+++ b/internal/catalog/retry.go
@@ -24,8 +24,8 @@
 	reader.mutex.Lock()
 	reader.failing = true
 	reader.mutex.Unlock()
-	silent := reader.options.Clock.Now().Since(reader.Contact())
-	if reader.Contact() == 0 || silent > askPeersAfter {
+	silent := reader.options.Clock.Now().Since(reader.LastContact())
+	if reader.LastContact() == 0 || silent > askPeersAfter {
 		reader.readPeer(ctx, false)
 	}
 	reader.pause(ctx, reader.backoff())
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -28,8 +28,8 @@
 	reader.nudge()
 }
 
-// Follow says that a peer has the given revision.
-func (reader *Reader) Follow(revision Revision) {
+// SetPeerRevision says that a peer has the given revision.
+func (reader *Reader) SetPeerRevision(revision Revision) {
 	reader.mutex.Lock()
 	newer := revision > reader.follows
 	reader.follows = revision
@@ -80,8 +80,8 @@
 	reader.nudge()
 }
 
-// Contact returns when the source last answered, 0 before the first time.
-func (reader *Reader) Contact() clock.Moment {
+// LastContact returns when the source last answered, 0 before the first time.
+func (reader *Reader) LastContact() clock.Moment {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.contact
--- a/internal/fleet/consumer_test.go
+++ b/internal/fleet/consumer_test.go
@@ -38,7 +38,7 @@
 func (consumer *consumer) probe(now clock.Moment) {
 	for _, job := range consumer.jobs {
 		reading := service.Reading{At: now, Slots: 2, Slowdown: 1, ColdKnown: true, ColdFor: clock.Minute}
-		consumer.controller.Probed(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, Reading: reading}})
+		consumer.controller.Probed(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, LoadReading: reading}})
 	}
 }
 
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -272,13 +272,13 @@
 		return
 	}
 	if result.Err == nil {
-		entry.Scheduler.Observe(result.Target, result.Health.Reading)
+		entry.Scheduler.Observe(result.Target, result.Health.LoadReading)
 	}
 	entry.Scheduler.SetDown(result.Target, result.Down)
 	controller.latestMutex.Lock()
 	defer controller.latestMutex.Unlock()
 	if result.Err == nil || result.Down {
-		controller.latest[result.Target] = ownReading{reading: result.Health.Reading, down: result.Down}
+		controller.latest[result.Target] = ownReading{reading: result.Health.LoadReading, down: result.Down}
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -152,8 +152,8 @@
 		Clock: gateway.clock, Events: events, Log: gateway.options.Log, Jitter: rand.Float64,
 	})
 	gateway.controller.SetFeed(fleet.Feed{
-		SetRole: gateway.reader.SetRole, Follow: gateway.reader.Follow, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
-		ReadStale: gateway.reader.ReadStale, Contact: gateway.reader.Contact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
+		SetRole: gateway.reader.SetRole, Follow: gateway.reader.SetPeerRevision, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
+		ReadStale: gateway.reader.ReadStale, Contact: gateway.reader.LastContact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
 	})
 }
 
--- a/internal/sensing/sensing.go
+++ b/internal/sensing/sensing.go
@@ -55,8 +55,8 @@
 	Target  settings.TargetName
 	Healthy bool
 	// NotRun says that the target refused the probe for want of room.
-	NotRun  bool
-	Reading service.Reading
+	NotRun      bool
+	LoadReading service.Reading
 }
 
 // Job is a target to probe.
@@ -210,7 +210,7 @@
 	}
 	defer exchange.Close()
 	health := prober.options.Read(exchange.Response)
-	health.Reading.At = prober.options.Clock.Now()
+	health.LoadReading.At = prober.options.Clock.Now()
 	if err := drain(exchange); err != nil {
 		return health, err
 	}
