--- a/internal/sensing/sensing.go
+++ b/internal/sensing/sensing.go
@@ -1,8 +1,8 @@
-// Package sensing probes backend servers: it asks those that this instance answers for how slow, how full and how warm
-// they are, often enough that the answer still holds when the next request is placed.
+// Package sensing probes backend servers: it measures how slow, how full and how warm those are that this instance owns, often enough
+// that the result is still valid when the next request is assigned.
 //
-// One instance probes a target and tells the others, so what probing adds does not grow with the fleet. A target whose
-// service is idle is probed rarely; nobody is about to choose.
+// One instance probes a target and shares the result with the others, so the cost of probing does not grow with the fleet. Targets of an
+// idle service are probed rarely, as no request is about to be assigned to one.
 //
 // # Usage
 //
@@ -27,34 +27,34 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Times of probing.
+// Intervals and timeouts of probing.
 const (
-	// probeTimeout bounds one probe. A target answers in some 10 ms even when it is full; 200 ms without an answer means
-	// that the target, its connection or its link is gone.
+	// probeTimeout bounds one probe. A target answers in some 10 ms even when it is full; 200 ms without an answer mean that the
+	// target, its connection or its link has failed.
 	probeTimeout = 200 * clock.Millisecond
-	// downAfter is the number of failed probes in a row after which nobody is taken to be there.
+	// downAfter is the number of consecutive failed probes after which a target counts as down.
 	downAfter = 2
-	// notDuePause is the time after which a target that was not to be probed is looked at again.
+	// notDuePause is the time between two checks whether a target that was not due is due now.
 	notDuePause = 100 * clock.Millisecond
-	// whileDown is the pause between probes of a target at which nobody is.
-	whileDown = 250 * clock.Millisecond
+	// downPause is the minimum pause between two probes of a target that is down.
+	downPause = 250 * clock.Millisecond
 )
 
-// Events of probing.
+// Event names of probing.
 const (
 	EventProbed = "probe.answered"
 	EventFailed = "probe.failed"
 )
 
-// errOther says that another server has the target's address.
-var errOther = errors.New("another backend server answers at the address")
+// errWrongServer means that another server has the target's address.
+var errWrongServer = errors.New("another backend server answers at the address")
 
 // Health is a target's answer to a probe.
 type Health struct {
-	// Target is who answered, empty when it doesn't say.
+	// Target is the name of the server that answered, empty when the answer does not contain it.
 	Target  settings.TargetName
 	Healthy bool
-	// NotRun says that the target refused the probe for want of room.
+	// NotRun is whether the target refused the probe because it is full.
 	NotRun      bool
 	LoadReading service.Reading
 }
@@ -65,23 +65,23 @@
 	Target  settings.TargetName
 	Address string
 	Path    string
-	// Due reports whether the target is to be probed at all at present; nil stands for always.
+	// Due reports whether the target should be probed at present; nil means always.
 	Due func() bool
-	// Pause is how long to wait until the next probe.
+	// Pause returns the time until the next probe.
 	Pause func() clock.Milliseconds
 }
 
-// Result is what came of a probe.
+// Result is the outcome of a probe.
 type Result struct {
 	Service settings.ServiceName
 	Target  settings.TargetName
 	Health  Health
-	// Down says that so many probes failed in a row that nobody is taken to be there.
+	// Down is whether at least downAfter consecutive probes failed.
 	Down bool
 	Err  error
 }
 
-// Options are what a Prober is made from.
+// Options configure a Prober.
 type Options struct {
 	Send    func(context.Context, settings.TargetName, *http.Request, bool) (*backendserver.Exchange, error)
 	Read    func(*http.Response) Health
@@ -90,27 +90,27 @@
 	Events  *expvar.Map
 }
 
-// Prober probes targets, each in a goroutine of its own.
+// Prober probes targets, each in its own goroutine.
 type Prober struct {
 	options Options
 
 	mutex   sync.Mutex
 	context context.Context
-	running map[settings.TargetName]*running
+	running map[settings.TargetName]*runningJob
 	group   sync.WaitGroup
 }
 
-type running struct {
+type runningJob struct {
 	job    Job
 	cancel context.CancelFunc
 }
 
 // NewProber returns a prober without jobs.
 func NewProber(options Options) *Prober {
-	return &Prober{options: options, running: map[settings.TargetName]*running{}}
+	return &Prober{options: options, running: map[settings.TargetName]*runningJob{}}
 }
 
-// Serve lets jobs run until the context ends.
+// Serve runs the jobs until the context ends.
 func (prober *Prober) Serve(ctx context.Context) error {
 	prober.mutex.Lock()
 	prober.context = ctx
@@ -126,7 +126,7 @@
 	return ctx.Err()
 }
 
-// Set replaces the jobs; those that stay the same go on.
+// Set replaces the jobs. Jobs that are unchanged go on without interruption.
 func (prober *Prober) Set(jobs []Job) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
@@ -146,7 +146,7 @@
 		delete(prober.running, name)
 	}
 	for name, job := range wanted {
-		entry := &running{job: job}
+		entry := &runningJob{job: job}
 		prober.running[name] = entry
 		if prober.context != nil {
 			prober.start(entry)
@@ -154,15 +154,15 @@
 	}
 }
 
-func (prober *Prober) start(entry *running) {
+func (prober *Prober) start(entry *runningJob) {
 	ctx, cancel := context.WithCancel(prober.context)
 	entry.cancel = cancel
 	job := entry.job
-	prober.group.Go(func() { prober.probeAll(ctx, job) })
+	prober.group.Go(func() { prober.probeLoop(ctx, job) })
 }
 
-// probeAll probes one target until the context ends.
-func (prober *Prober) probeAll(ctx context.Context, job Job) {
+// probeLoop probes one target until the context ends.
+func (prober *Prober) probeLoop(ctx context.Context, job Job) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	failures := 0
@@ -190,7 +190,7 @@
 		}
 		down := failures >= downAfter
 		if down {
-			pause = max(pause, whileDown)
+			pause = max(pause, downPause)
 		}
 		prober.options.Deliver(Result{Service: job.Service, Target: job.Target, Health: health, Down: down, Err: err})
 		timer.Reset(pause.Duration())
@@ -215,17 +215,17 @@
 		return health, err
 	}
 	if health.Target != "" && health.Target != job.Target {
-		return health, errOther
+		return health, errWrongServer
 	}
 	return health, nil
 }
 
-// probeBodyMost bounds the body of a probe's answer, in bytes.
-const probeBodyMost = 4 << 10
+// probeBufferSize is the size of the buffer for the body of a probe's answer, in bytes.
+const probeBufferSize = 4 << 10
 
-// drain reads the answer to its end, without which its connection could not be used again.
+// drain reads the answer to its end. Otherwise its connection could not be used again.
 func drain(exchange *backendserver.Exchange) error {
-	var buffer [probeBodyMost]byte
+	var buffer [probeBufferSize]byte
 	for !exchange.Whole() {
 		if _, err := exchange.Read(buffer[:]); err != nil && !exchange.Whole() {
 			return err
--- a/internal/sensing/sensing_test.go
+++ b/internal/sensing/sensing_test.go
@@ -17,10 +17,11 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-var errNobody = errors.New("nobody there")
+var errNoServer = errors.New("no server at the address")
 
-// Hundreds of instances are back at once, and each holds itself for the one that answers for all backend servers. As long as no caller
-// asks them, none may open a connection; as soon as one does, its service must be probed within a moment.
+// Guards against probes of targets that are not due. After a restart of the whole fleet, hundreds of instances each count as the
+// owner of all backend servers, and none may open a connection before a caller sends it a request. Once one does, its service must
+// be probed within a moment.
 func TestTargetsThatAreNotDueAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var probes atomic.Int64
@@ -28,7 +29,7 @@
 		prober := NewProber(Options{
 			Send: func(context.Context, settings.TargetName, *http.Request, bool) (*backendserver.Exchange, error) {
 				probes.Add(1)
-				return nil, errNobody
+				return nil, errNoServer
 			},
 			Deliver: func(Result) {}, Clock: clock.New(), Events: new(expvar.Map).Init(),
 		})
