--- a/internal/catalog/apply.go
+++ b/internal/catalog/apply.go
@@ -8,9 +8,10 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// mayHaveLapsed reports whether a removal seen now may be owed to the store's absence alone.
+// mayHaveLapsed reports whether an entry that is removed now may only have lapsed: during an outage of the store, servers cannot
+// renew their entries.
 func (reader *Reader) mayHaveLapsed(now clock.Moment) bool {
-	return now < reader.holdsUntil
+	return now < reader.retainUntil
 }
 
 func (reader *Reader) applySnapshot(snapshot Snapshot) {
@@ -24,13 +25,13 @@
 			reader.remove(key)
 		}
 	}
-	for _, key := range slices.Collect(maps.Keys(reader.out)) {
+	for _, key := range slices.Collect(maps.Keys(reader.evacuated)) {
 		if !present[key] {
-			delete(reader.out, key)
+			delete(reader.evacuated, key)
 		}
 	}
 	reader.revision = snapshot.Revision
-	reader.askAgain = 0
+	reader.recheckPeerAt = 0
 }
 
 func (reader *Reader) applyChanges(ctx context.Context, changes Changes) error {
@@ -50,11 +51,11 @@
 	if err := reader.publish(ctx); err != nil {
 		return err
 	}
-	gather := gatherFor
+	pause := batchPause
 	if reader.configuration == nil {
-		gather = gatherUnconfigured
+		pause = batchPauseUnconfigured
 	}
-	sleep(ctx, min(gather, reader.untilLapsed()))
+	sleep(ctx, min(pause, reader.untilNextDrop()))
 	return nil
 }
 
@@ -70,33 +71,33 @@
 		delete(reader.lapsed, item.Key)
 		reader.servers[item.Key] = *item.Server
 	case item.Evacuated != "":
-		reader.out[item.Key] = item.Evacuated
+		reader.evacuated[item.Key] = item.Evacuated
 	}
 }
 
-// setConfiguration puts a newer configuration in force; one that is not newer is ignored, whoever says it.
+// setConfiguration puts a newer configuration in force. One that is not newer is ignored, whichever source it comes from.
 func (reader *Reader) setConfiguration(configuration *Configuration) {
 	if reader.configuration != nil && configuration.Version <= reader.configuration.Version {
 		return
 	}
 	reader.configuration = configuration
 	reader.options.Log.Info().Uint64("version", uint64(configuration.Version)).Int("routes", len(configuration.Routes)).Msg("configuration in force")
-	for _, doubt := range configuration.Warnings {
+	for _, warning := range configuration.Warnings {
 		reader.options.Events.Add(EventWarning, 1)
-		reader.options.Log.Warn().Uint64("version", uint64(configuration.Version)).Str("problem", doubt).Msg("configuration not understood in part")
+		reader.options.Log.Warn().Uint64("version", uint64(configuration.Version)).Str("problem", warning).Msg("configuration not understood in part")
 	}
 }
 
 func (reader *Reader) remove(key Key) {
 	now := reader.options.Clock.Now()
-	delete(reader.out, key)
+	delete(reader.evacuated, key)
 	server, known := reader.servers[key]
 	if !known {
 		return
 	}
 	if server.State == ServerReady && reader.mayHaveLapsed(now) {
 		if _, noted := reader.lapsed[key]; !noted {
-			reader.lapsed[key] = reader.holdsUntil
+			reader.lapsed[key] = reader.retainUntil
 		}
 		return
 	}
@@ -104,7 +105,7 @@
 	delete(reader.lapsed, key)
 }
 
-// dropLapsed forgets servers that did not come back in time, and reports whether there were any.
+// dropLapsed removes servers that were not registered again in time, and reports whether there were any.
 func (reader *Reader) dropLapsed() bool {
 	now := reader.options.Clock.Now()
 	dropped := false
@@ -127,7 +128,7 @@
 	for _, key := range slices.Sorted(maps.Keys(reader.servers)) {
 		view.Servers = append(view.Servers, reader.servers[key])
 	}
-	view.Evacuated = slices.Sorted(maps.Values(reader.out))
-	view.RetainedUntil = reader.heldUntil()
+	view.Evacuated = slices.Sorted(maps.Values(reader.evacuated))
+	view.RetainedUntil = reader.retainedUntil()
 	return view
 }
--- a/internal/catalog/catchup_test.go
+++ b/internal/catalog/catchup_test.go
@@ -13,7 +13,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// slowSource takes longer to be read than a peer's word of a newer revision waits, and tells no change.
+// slowSource is a source whose reads take longer than the time until a peer's newer revision is reported, and whose watches return
+// no change.
 func slowSource(length clock.Milliseconds) Source {
 	return Source{
 		ReadAll: func(ctx context.Context) (Snapshot, error) {
@@ -28,7 +29,7 @@
 	}
 }
 
-// Guards against an instance on a slow link that never ends reading, since it is told again and again that it is behind.
+// Guards against an instance on a slow link whose reads never complete, because each is cancelled when a peer has a newer revision.
 func TestReadingGoesOnWhilePeersKnowMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		published := make(chan View, 64)
--- a/internal/catalog/encoding.go
+++ b/internal/catalog/encoding.go
@@ -9,20 +9,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrEncoding says that what a peer told is no update.
+// ErrEncoding means that data from a peer is not an encoded update.
 var ErrEncoding = errors.New("update not understood")
 
-// An encoded update begins with a byte that says whether the CBOR after it is compressed.
+// The first byte of an encoded update is whether the CBOR after it is plain or compressed.
 const (
 	formPlain   byte = 'p'
 	formDeflate byte = 'd'
 )
 
-// compressFrom is the length from which an update is compressed: a few backend servers are not worth a compressor's memory.
-const compressFrom = 4 << 10
+// compressionThreshold is the length in bytes from which an update is compressed: for a few backend servers a compressor is not
+// worth its memory.
+const compressionThreshold = 4 << 10
 
-// updateMost bounds an update that is read, in bytes.
-const updateMost = 64 << 20
+// maxUpdateSize bounds the length in bytes of an update after decompression.
+const maxUpdateSize = 64 << 20
 
 var encoding, decoding = func() (cbor.EncMode, cbor.DecMode) {
 	encoding, err := cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
@@ -38,13 +39,13 @@
 	return encoding, decoding
 }()
 
-// Encode returns the update as it is told to another instance.
+// Encode returns the encoded update for another instance.
 func (update *Update) Encode() ([]byte, error) {
 	plain, err := encoding.Marshal(update)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode update")
 	}
-	if len(plain) < compressFrom {
+	if len(plain) < compressionThreshold {
 		return append([]byte{formPlain}, plain...), nil
 	}
 	encoded := bytes.NewBuffer([]byte{formDeflate})
@@ -61,7 +62,7 @@
 	return encoded.Bytes(), nil
 }
 
-// DecodeUpdate reads an update to its end. The error is ErrEncoding, or the reader's.
+// DecodeUpdate reads an encoded update to its end. The error is ErrEncoding, or that of the reader.
 func DecodeUpdate(reader io.Reader) (Update, error) {
 	var update Update
 	var form [1]byte
@@ -73,9 +74,9 @@
 	case formDeflate:
 		reader = flate.NewReader(reader)
 	default:
-		return update, errors.Wrapf(ErrEncoding, "form %q", form[0])
+		return update, errors.Wrapf(ErrEncoding, "unknown form %q", form[0])
 	}
-	text, err := io.ReadAll(io.LimitReader(reader, updateMost))
+	text, err := io.ReadAll(io.LimitReader(reader, maxUpdateSize))
 	if err != nil {
 		return update, errors.Wrap(err, "read update")
 	}
--- a/internal/catalog/encoding_test.go
+++ b/internal/catalog/encoding_test.go
@@ -13,7 +13,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// largeUpdate tells everything of a fleet with the given numbers of backend servers and routes.
+// largeUpdate returns a complete update for the given numbers of backend servers and routes.
 func largeUpdate(servers, routes int) Update {
 	random := rand.New(rand.NewPCG(uint64(servers), uint64(routes)))
 	update := Update{Revision: 900, Configuration: &Configuration{
@@ -35,7 +35,7 @@
 	return update
 }
 
-func TestUpdateIsReadAsItWasTold(t *testing.T) {
+func TestUpdateIsDecodedAsEncoded(t *testing.T) {
 	cases := []Update{
 		{Revision: 7, Since: 6, Removed: []settings.TargetName{"one"}, Evacuated: []settings.DataCentreName{"sofia-1"}, Digest: 3, RetainedFor: 700.5},
 		largeUpdate(540, 20), largeUpdate(3, 1400),
@@ -49,10 +49,10 @@
 	}
 }
 
-// Guards against views so large that a small instance's link takes seconds to tell them to those that stand by.
+// Guards against views so large that the link of a small instance takes seconds to send them to the standby instances.
 func TestWholeViewIsSmall(t *testing.T) {
 	cases := []struct {
-		servers, routes, most int
+		servers, routes, maxLength int
 	}{
 		{540, 20, 30 << 10},
 		{920, 60, 50 << 10},
@@ -63,11 +63,11 @@
 		encoded, err := update.Encode()
 		require.NoError(t, err)
 		t.Logf("%d servers, %d routes: %d bytes", testCase.servers, testCase.routes, len(encoded))
-		require.Less(t, len(encoded), testCase.most)
+		require.Less(t, len(encoded), testCase.maxLength)
 	}
 }
 
-// Guards against keys of teams that make up most of what those that stand by are told.
+// Guards against API keys of teams that make up most of the data sent to standby instances.
 func TestViewWithTeamsIsSmall(t *testing.T) {
 	lengths := map[int]int{}
 	for _, count := range []int{0, 100, 10_000} {
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -11,73 +11,72 @@
 
 // followOnce reads a peer's view when it is newer, and waits until there is something to do.
 func (reader *Reader) followOnce(ctx context.Context) {
-	reader.whole = false
+	reader.complete = false
 	if reader.dropLapsed() {
-		reader.handOn(ctx)
+		reader.publishOrLog(ctx)
 	}
 	behind := reader.behind()
 	now := reader.options.Clock.Now()
-	due := reader.askAgain > 0 && now >= reader.askAgain
-	if due {
-		// Until a peer has answered.
-		reader.askAgain = now.Add(heldAgain)
+	recheckDue := reader.recheckPeerAt > 0 && now >= reader.recheckPeerAt
+	if recheckDue {
+		// A peer's answer replaces this time.
+		reader.recheckPeerAt = now.Add(recheckInterval)
 	}
-	if behind || reader.refreshing || due {
+	if behind || reader.refreshing || recheckDue {
 		reader.readPeer(ctx, reader.refreshing)
-		sleep(ctx, followPause)
+		sleep(ctx, minPeerReadInterval)
 		return
 	}
-	var over <-chan time.Time
-	if until := reader.heldUntil(); until > 0 {
-		// Durations are rounded down.
-		over = time.After(until.Since(now).Duration() + time.Microsecond)
+	var expired <-chan time.Time
+	if until := reader.retainedUntil(); until > 0 {
+		// The conversion to a duration rounds down.
+		expired = time.After(until.Since(now).Duration() + time.Microsecond)
 	}
 	select {
 	case <-reader.wake:
-	case <-over:
+	case <-expired:
 	case <-ctx.Done():
 	}
 }
 
-// readPeer takes over a newer view of a peer that the source answers. The store may turn away some instances and serve
-// the others.
-func (reader *Reader) readPeer(ctx context.Context, again bool) {
-	view, err := reader.askPeers(ctx, again)
+// readPeer adopts the view of a peer if it is newer, or if full is set. The store may refuse some instances and answer others.
+func (reader *Reader) readPeer(ctx context.Context, full bool) {
+	view, err := reader.fetchFromPeers(ctx, full)
 	if err != nil {
 		return
 	}
-	known := view.Revision < reader.revision || view.Revision == reader.revision && !again && reader.askAgain == 0
-	if known || view.Configuration == nil {
+	outdated := view.Revision < reader.revision || view.Revision == reader.revision && !full && reader.recheckPeerAt == 0
+	if outdated || view.Configuration == nil {
 		return
 	}
-	reader.askAgain = view.RetainedUntil
-	reader.refreshing = reader.refreshing && !again
+	reader.recheckPeerAt = view.RetainedUntil
+	reader.refreshing = reader.refreshing && !full
 	reader.options.Events.Add(EventFromPeer, 1)
-	reader.options.Log.Debug().Uint64("revision", uint64(view.Revision)).Uint64("before", uint64(reader.revision)).Msg("view taken from a peer")
+	reader.options.Log.Debug().Uint64("revision", uint64(view.Revision)).Uint64("before", uint64(reader.revision)).Msg("view adopted from a peer")
 	reader.setConfiguration(view.Configuration)
 	clear(reader.servers)
-	clear(reader.out)
+	clear(reader.evacuated)
 	clear(reader.lapsed)
 	for _, server := range view.Servers {
 		reader.servers[ServerKey(server.Name)] = server
 	}
 	for _, name := range view.Evacuated {
-		reader.out[EvacuationKey(name)] = name
+		reader.evacuated[EvacuationKey(name)] = name
 	}
 	reader.revision = view.Revision
-	// What the source holds beyond that is only known once everything has been read.
-	reader.whole = false
-	reader.handOn(ctx)
+	// Later changes of the source are known only after everything has been read.
+	reader.complete = false
+	reader.publishOrLog(ctx)
 }
 
-// askPeers asks a second peer at once when the first does not answer: it may just have been lost.
-func (reader *Reader) askPeers(ctx context.Context, again bool) (View, error) {
-	ctx, cancel := reader.cancellable(ctx, readTimeout)
+// fetchFromPeers asks a second peer at once when the first does not answer, as that one may just have failed.
+func (reader *Reader) fetchFromPeers(ctx context.Context, full bool) (View, error) {
+	ctx, cancel := reader.cancellableContext(ctx, readTimeout)
 	defer cancel()
-	view, err := reader.peerView(ctx, again)
+	view, err := reader.fetchPeerView(ctx, full)
 	if err != nil && ctx.Err() == nil {
 		reader.options.Events.Add(EventPeerFailed, 1)
-		view, err = reader.peerView(ctx, again)
+		view, err = reader.fetchPeerView(ctx, full)
 	}
 	if err != nil {
 		reader.options.Events.Add(EventPeerFailed, 1)
@@ -88,27 +87,29 @@
 	return view, err
 }
 
-func (reader *Reader) handOn(ctx context.Context) {
+// publishOrLog publishes the view, and logs the error if that fails.
+func (reader *Reader) publishOrLog(ctx context.Context) {
 	if err := reader.publish(ctx); err != nil {
-		reader.options.Log.Warn().Str("problem", err.Error()).Msg("view not handed on")
+		reader.options.Log.Warn().Str("problem", err.Error()).Msg("view not published")
 	}
 }
 
-// heldUntil is when the first of the servers is dropped that may only have lapsed, here or at the peer whose view was taken; 0 when there is none.
-func (reader *Reader) heldUntil() clock.Moment {
-	held := reader.askAgain
+// retainedUntil returns when the first server is dropped that may only have lapsed, here or at the peer whose view was adopted; 0
+// when there is none.
+func (reader *Reader) retainedUntil() clock.Moment {
+	first := reader.recheckPeerAt
 	for _, until := range reader.lapsed {
-		if held == 0 || until < held {
-			held = until
+		if first == 0 || until < first {
+			first = until
 		}
 	}
-	return held
+	return first
 }
 
-// peerView asks a peer for what has changed, and for everything when that doesn't fit what is known here.
-func (reader *Reader) peerView(ctx context.Context, again bool) (View, error) {
+// fetchPeerView asks a peer for the changes since the known revision, and for everything when those do not apply to the view here.
+func (reader *Reader) fetchPeerView(ctx context.Context, full bool) (View, error) {
 	after := reader.revision
-	if again || reader.configuration == nil {
+	if full || reader.configuration == nil {
 		after = 0
 	}
 	update, err := reader.options.FetchFromPeer(ctx, after)
@@ -116,12 +117,12 @@
 		return View{}, err
 	}
 	base := reader.current()
-	if update.Revision < after || update.Revision == after && reader.askAgain == 0 {
+	if update.Revision < after || update.Revision == after && reader.recheckPeerAt == 0 {
 		return base, nil
 	}
 	view, err := update.Apply(&base)
 	if !errors.Is(err, ErrMismatch) || after == 0 {
-		view.RetainedUntil = reader.until(update.RetainedFor)
+		view.RetainedUntil = reader.retentionEnd(update.RetainedFor)
 		return view, err
 	}
 	reader.options.Events.Add(EventMismatch, 1)
@@ -129,14 +130,14 @@
 		return View{}, err
 	}
 	view, err = update.Apply(&base)
-	view.RetainedUntil = reader.until(update.RetainedFor)
+	view.RetainedUntil = reader.retentionEnd(update.RetainedFor)
 	return view, err
 }
 
-// until is when a peer's view may hold no more, 0 when it holds on.
-func (reader *Reader) until(heldFor clock.Milliseconds) clock.Moment {
-	if heldFor <= 0 {
+// retentionEnd returns when a peer first drops a server that it retains, 0 when it retains none.
+func (reader *Reader) retentionEnd(retainedFor clock.Milliseconds) clock.Moment {
+	if retainedFor <= 0 {
 		return 0
 	}
-	return reader.options.Clock.Now().Add(heldFor)
+	return reader.options.Clock.Now().Add(retainedFor)
 }
--- a/internal/catalog/item.go
+++ b/internal/catalog/item.go
@@ -9,54 +9,52 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Key names one thing that a source holds. Every source names things alike, so that a view may come from the one at one
-// time and from another at the next.
+// Key identifies one item of a source. All sources use the same keys, so that a view can come from different sources in turn.
 type Key string
 
-// ServerKey is the key of a backend server.
+// ServerKey returns the key of a backend server.
 func ServerKey(name settings.TargetName) Key {
 	return Key("server/" + name)
 }
 
-// EvacuationKey is the key of the word that a data centre is out.
+// EvacuationKey returns the key of the item that marks a data centre as evacuated.
 func EvacuationKey(name settings.DataCentreName) Key {
 	return Key("out/" + name)
 }
 
-// Item is one thing that a source holds. At most one of its parts is set; an item without any says nothing that concerns
-// jaywheel.
+// Item is one item of a source. At most one of its parts is set; an item without any does not concern jaywheel.
 type Item struct {
 	Key           Key
 	Configuration *Configuration
 	Server        *Server
 	Evacuated     settings.DataCentreName
-	// Problem says why an item that should concern jaywheel was not understood. It then counts as not being there.
+	// Problem is why an item that should concern jaywheel was not understood, nil otherwise. Such an item counts as absent.
 	Problem error
 }
 
-// Snapshot is all that a source held at one revision.
+// Snapshot is the content of a source at one revision.
 type Snapshot struct {
 	Revision Revision
 	Items    []Item
 }
 
-// Changes are what has changed since an earlier revision.
+// Changes are the changes of a source since an earlier revision.
 type Changes struct {
 	Revision Revision
 	Set      []Item
 	Removed  []Key
 }
 
-// ErrCompacted says that a source no longer knows what has changed since the revision asked for.
-var ErrCompacted = errors.New("the changes since that revision are no longer known")
+// ErrCompacted means that a source no longer has the changes since the requested revision.
+var ErrCompacted = errors.New("changes since the requested revision are no longer available")
 
-// Source is a platform's store, read only. Its fields are functions so that a test can put anything in its place.
+// Source is read access to a platform's store. Its fields are functions so that tests can replace each of them.
 type Source struct {
 	// ReadAll reads everything.
 	ReadAll func(ctx context.Context) (Snapshot, error)
-	// ReadStale reads everything as it was up to some seconds ago, which costs the source little.
+	// ReadStale reads everything as it was up to some seconds ago, at little cost for the store.
 	ReadStale func(ctx context.Context) (Snapshot, error)
-	// Watch returns the changes after a revision, as soon as there are any, or none when the wait is over. The error is
-	// ErrGone when the source can't tell.
+	// Watch returns the changes after a revision as soon as there are any, or none after the wait. The error is ErrCompacted when
+	// the store no longer has them.
 	Watch func(ctx context.Context, after Revision, wait clock.Milliseconds) (Changes, error)
 }
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -13,48 +13,49 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Times of a Reader.
+// Intervals and timeouts of a Reader.
 const (
-	// readTimeout bounds reading everything. A slow store answers in some 250 ms; one whose connection went silent never
-	// does, and is asked again on a new connection.
+	// readTimeout bounds reading everything. A slow store answers in some 250 ms. On a connection that has stopped answering it
+	// never does, and the read is repeated on a new connection.
 	readTimeout = clock.Second
-	// staleTimeout bounds reading an old view, for want of which callers wait.
+	// staleTimeout bounds a stale read, during which callers wait.
 	staleTimeout = 300 * clock.Millisecond
-	// watchWait is how long a watch waits for a change, and watchSlack how much later its answer may come. A connection
-	// that has gone silent is noticed when both have passed; instances must follow changes within 3 s of that.
+	// watchWait is how long a watch waits for a change, and watchSlack how much later its answer may come. A connection that has
+	// stopped answering is detected when both have passed; instances must apply changes within 3 s of its failure.
 	watchWait  = 2 * clock.Second
 	watchSlack = 600 * clock.Millisecond
-	// shortestWait is the least time that a watch waits.
-	shortestWait = 10 * clock.Millisecond
-	// gatherFor is the pause after changes before the next call. Calls are priced and limited; changes come in bunches
-	// when servers are replaced. It is a seventh of the time in which a change must be in force.
-	gatherFor = 300 * clock.Millisecond
-	// gatherUnconfigured is that pause while there is no configuration: hundreds of servers come up together before a fleet's first one.
-	gatherUnconfigured = 700 * clock.Millisecond
-	// firstBackoff and mostBackoff bound the pause after a failed call of an instance that serves.
-	firstBackoff = 100 * clock.Millisecond
-	mostBackoff  = 500 * clock.Millisecond
-	// firstBackoffStandby and mostBackoffStandby are those of an instance that stands by and reads only because nobody who serves
-	// is answered. Instances are bound by what they could have read 3 s after the store is back. When it is away from everyone, all
-	// of them call it, and a hundred instances with the shorter pauses would be a burden to it.
-	firstBackoffStandby = 500 * clock.Millisecond
-	mostBackoffStandby  = 2 * clock.Second
-	// outageFrom is the time without an answer from which entries may have lapsed for want of the store alone.
-	outageFrom = 800 * clock.Millisecond
-	// returnWithin is the time after the store's return within which servers that live are listed again.
-	returnWithin = 2500 * clock.Millisecond
-	// holdMost bounds, from the start of the last call that failed, how long entries are held that may have lapsed. The store may have
-	// been back since just then, and an instance is bound by its removals 3 s later.
-	holdMost = 2900 * clock.Millisecond
-	// followPause is the least time between two readings of a peer's view.
-	followPause = 100 * clock.Millisecond
-	// heldAgain is the time between two looks at a peer that may have dropped servers which it held.
-	heldAgain = 500 * clock.Millisecond
-	// askPeersAfter is the time without an answer from which peers are asked.
-	askPeersAfter = 600 * clock.Millisecond
+	// minWatchWait is the shortest time that a watch waits.
+	minWatchWait = 10 * clock.Millisecond
+	// batchPause is the pause after changes before the next call. Calls are priced and limited, and changes come in batches when
+	// servers are replaced. The pause is a seventh of the time in which a change must be in force.
+	batchPause = 300 * clock.Millisecond
+	// batchPauseUnconfigured is that pause while there is no configuration: hundreds of servers start together before a fleet's
+	// first configuration.
+	batchPauseUnconfigured = 700 * clock.Millisecond
+	// initialBackoff and maxBackoff bound the pause after a failed call of a serving instance.
+	initialBackoff = 100 * clock.Millisecond
+	maxBackoff     = 500 * clock.Millisecond
+	// initialBackoffFallback and maxBackoffFallback are the bounds for a fallback reader. An instance must apply, 3 s after the
+	// store is back, what it could have read. While no instance is answered, all of them call the store, and a hundred instances
+	// with the shorter pauses would overload it.
+	initialBackoffFallback = 500 * clock.Millisecond
+	maxBackoffFallback     = 2 * clock.Second
+	// outageThreshold is the time without an answer after which entries may have lapsed only because of the outage of the store.
+	outageThreshold = 800 * clock.Millisecond
+	// reregistrationPeriod is the time after the store's return in which running servers are registered again.
+	reregistrationPeriod = 2500 * clock.Millisecond
+	// maxRetention bounds, from the start of the last failed call, how long entries are retained that may have lapsed. The store may
+	// have been back since just after that, and an instance must apply its removals 3 s later.
+	maxRetention = 2900 * clock.Millisecond
+	// minPeerReadInterval is the minimum time between two reads of a peer's view.
+	minPeerReadInterval = 100 * clock.Millisecond
+	// recheckInterval is the time between two reads of a peer that may have dropped servers which it retained.
+	recheckInterval = 500 * clock.Millisecond
+	// peerFallbackAfter is the time without an answer of the store after which peers are asked.
+	peerFallbackAfter = 600 * clock.Millisecond
 )
 
-// Events of a Reader.
+// Event names of a Reader.
 const (
 	EventRead       = "catalog.read"
 	EventReadStale  = "catalog.readStale"
@@ -67,134 +68,135 @@
 	EventWarning    = "catalog.doubt"
 )
 
-// Options are what a Reader is made from.
+// Options configure a Reader.
 type Options struct {
 	Source Source
-	// FetchFromPeer asks another instance what has changed after a revision, or for everything when that is 0. The other one's
-	// view may be older than one's own.
+	// FetchFromPeer asks another instance for the changes after a revision, or for everything when that is 0. The view of the other
+	// instance may be older than this one's.
 	FetchFromPeer func(ctx context.Context, after Revision) (Update, error)
-	// Publish takes each new view.
+	// Publish is called with each new view.
 	Publish func(ctx context.Context, view View) error
 	Clock   *clock.Clock
 	Events  *expvar.Map
 	Log     zerolog.Logger
-	// Jitter returns a number from 0 to 1.
+	// Jitter returns a random number from 0 to 1.
 	Jitter func() float64
 }
 
-// Reader keeps a View current while it is wanted.
+// Reader keeps a View current while Serve runs. The other methods are safe for concurrent use.
 type Reader struct {
 	options Options
 	wake    chan struct{}
 
-	mutex   sync.Mutex
-	role    Role
-	follows Revision
-	refresh bool
-	// staleWanted says that ReadStale was called, readingStale that an old view is being read, in place of which any peer's will do.
-	staleWanted, readingStale bool
-	contact                   clock.Moment
-	failing                   bool
-	// watching says that the call under way waits for changes.
+	mutex            sync.Mutex
+	role             Role
+	peerRevision     Revision
+	refreshRequested bool
+	// staleRequested is whether ReadStale was called, readingStale whether a stale read is in progress, which a newer view of any
+	// peer replaces.
+	staleRequested, readingStale bool
+	lastContact                  clock.Moment
+	failing                      bool
+	// watching is whether the call in progress waits for changes.
 	watching bool
-	// peerFailing says that peers did not tell their view when they were last asked.
+	// peerFailing is whether peers did not answer when they were last asked.
 	peerFailing bool
 	cancelIO    context.CancelFunc
 
-	// The fields below belong to the goroutine that runs Serve.
+	// The fields below are used only by the goroutine that runs Serve.
 	revision Revision
-	whole    bool
-	// refreshing is true from when all is to be read anew until it was.
+	complete bool
+	// refreshing is set from a request to read everything until that is done.
 	refreshing    bool
 	configuration *Configuration
 	servers       map[Key]Server
-	out           map[Key]settings.DataCentreName
+	evacuated     map[Key]settings.DataCentreName
 	lapsed        map[Key]clock.Moment
-	// calledAt is when the last call to the source began, failedAt when the last one did that failed.
+	// calledAt is when the last call to the source began, failedAt when the last failed one did.
 	calledAt, failedAt clock.Moment
-	// holdsUntil is until when removed entries are held that may only have lapsed.
-	holdsUntil clock.Moment
-	// askAgain is when a peer whose view was taken drops servers that it held, 0 when it held none.
-	askAgain clock.Moment
-	failures int
-	problem  string
+	// retainUntil is the time until which removed entries are retained that may only have lapsed.
+	retainUntil clock.Moment
+	// recheckPeerAt is when a peer whose view was adopted drops servers that it retained, 0 when it retained none.
+	recheckPeerAt clock.Moment
+	failures      int
+	problem       string
 }
 
-// NewReader returns a reader that follows: it reads nothing until it is told to lead or what to follow.
+// NewReader returns a reader with RoleFollower. It reads nothing until its role changes or a peer's revision is set.
 func NewReader(options Options) *Reader {
 	return &Reader{
 		options: options, wake: make(chan struct{}, 1), servers: map[Key]Server{},
-		out: map[Key]settings.DataCentreName{}, lapsed: map[Key]clock.Moment{},
+		evacuated: map[Key]settings.DataCentreName{}, lapsed: map[Key]clock.Moment{},
 	}
 }
 
 // The roles of a reader.
 const (
-	// RoleFollower takes the views of peers.
+	// RoleFollower adopts the views of peers.
 	RoleFollower Role = iota
-	// RoleFallback reads the source for want of a peer that does, and takes its time when it is not answered.
+	// RoleFallback reads the source because no peer does, with longer pauses after failed calls.
 	RoleFallback
-	// RoleLeader reads the source for all.
+	// RoleLeader reads the source on behalf of all instances.
 	RoleLeader
 )
 
-// Serve reads and watches until the context ends.
+// Serve keeps the view current until the context ends.
 func (reader *Reader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		reader.readStale(ctx)
-		leads, refresh := reader.task()
+		readsSource, refresh := reader.nextTask()
 		if refresh {
-			reader.whole = false
+			reader.complete = false
 			reader.refreshing = true
 		}
-		if !leads {
+		if !readsSource {
 			reader.followOnce(ctx)
 			continue
 		}
 		if refresh && (reader.failures > 0 || reader.behind()) {
-			// What others have seen removed while this instance alone was not answered has not lapsed. And the call that was given up
-			// for this may have been one that the source never answers, as the next one would be: whoever knows more is asked first.
+			// A server that peers saw removed while only this instance got no answers has not lapsed. The call that was cancelled for the
+			// refresh may also be one that the source never answers, and so might be the next call: peers are asked first.
 			reader.readPeer(ctx, false)
 		}
 		if err := reader.step(ctx); err != nil && ctx.Err() == nil {
-			reader.fail(ctx, err)
+			reader.handleFailure(ctx, err)
 		}
 	}
 	return ctx.Err()
 }
 
-// task tells whether to lead, and whether everything is to be read anew.
-func (reader *Reader) task() (bool, bool) {
+// nextTask returns whether this instance reads the source, and whether everything is to be read again.
+func (reader *Reader) nextTask() (bool, bool) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	refresh := reader.refresh
-	reader.refresh = false
+	refresh := reader.refreshRequested
+	reader.refreshRequested = false
 	return reader.role != RoleFollower, refresh
 }
 
-// step makes one call to the source and publishes what came of it.
+// step makes one call to the source and publishes the result.
 func (reader *Reader) step(ctx context.Context) error {
-	if !reader.whole {
+	if !reader.complete {
 		return reader.readAll(ctx)
 	}
-	wait := reader.nextWait()
-	ctx, cancel := reader.bounded(ctx, wait+watchSlack)
+	wait := reader.nextWatchWait()
+	ctx, cancel := reader.callContext(ctx, wait+watchSlack)
 	defer cancel()
 	reader.options.Events.Add(EventWatch, 1)
 	reader.setWatching(true)
 	changes, err := reader.options.Source.Watch(ctx, reader.revision, wait)
 	reader.setWatching(false)
 	if errors.Is(err, ErrCompacted) {
-		reader.whole = false
-		reader.options.Log.Info().Uint64("revision", uint64(reader.revision)).Msg("history is gone, reading everything")
-		// A source that says so each time would be called without a pause.
-		sleep(ctx, firstBackoff)
+		reader.complete = false
+		reader.options.Log.Info().Uint64("revision", uint64(reader.revision)).Msg("changes since the revision are no longer available, reading everything")
+		// Without a pause, a source that fails each watch this way would be called in a busy loop.
+		sleep(ctx, initialBackoff)
 		return nil
 	}
 	if err != nil {
 		return errors.Wrap(err, "watch")
 	}
-	reader.answered()
+	reader.recordAnswer()
 	return reader.applyChanges(ctx, changes)
 }
 
@@ -204,18 +206,18 @@
 	reader.watching = watching
 }
 
-// nextWait is how long the next watch may wait: no longer than until an entry that may only have lapsed is to be dropped. A watch that
-// brings nothing ends much later, and its server would get requests all the while. After a failure it does not wait: it tells whether the source is
-// back.
-func (reader *Reader) nextWait() clock.Milliseconds {
+// nextWatchWait returns how long the next watch may wait, at most until the next entry is dropped that may only have lapsed. A watch
+// without changes would end much later, and the server would get requests until then. After a failure the watch hardly waits, and so
+// shows whether the source is back.
+func (reader *Reader) nextWatchWait() clock.Milliseconds {
 	if reader.failures > 0 {
-		return shortestWait
+		return minWatchWait
 	}
-	return max(min(watchWait, reader.untilLapsed()), shortestWait)
+	return max(min(watchWait, reader.untilNextDrop()), minWatchWait)
 }
 
-// untilLapsed is the time after which the first entry is dropped that may only have lapsed; a very long one when none is held.
-func (reader *Reader) untilLapsed() clock.Milliseconds {
+// untilNextDrop returns the time until the first entry is dropped that may only have lapsed; a minute when none is retained.
+func (reader *Reader) untilNextDrop() clock.Milliseconds {
 	left := clock.Minute
 	now := reader.options.Clock.Now()
 	for _, until := range reader.lapsed {
@@ -224,15 +226,15 @@
 	return max(left, 0)
 }
 
-// bounded returns the context of a call to the source.
-func (reader *Reader) bounded(ctx context.Context, length clock.Milliseconds) (context.Context, context.CancelFunc) {
+// callContext returns the context of a call to the source, and records the start of the call.
+func (reader *Reader) callContext(ctx context.Context, timeout clock.Milliseconds) (context.Context, context.CancelFunc) {
 	reader.calledAt = reader.options.Clock.Now()
-	return reader.cancellable(ctx, length)
+	return reader.cancellableContext(ctx, timeout)
 }
 
-// cancellable returns a context that ends after the time, and when the reader is told to stop or to read anew.
-func (reader *Reader) cancellable(ctx context.Context, length clock.Milliseconds) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, length.Duration())
+// cancellableContext returns a context that ends after the timeout, and when the role changes or a refresh is requested.
+func (reader *Reader) cancellableContext(ctx context.Context, timeout clock.Milliseconds) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	reader.cancelIO = cancel
@@ -240,33 +242,33 @@
 }
 
 func (reader *Reader) readAll(ctx context.Context) error {
-	ctx, cancel := reader.bounded(ctx, readTimeout)
+	ctx, cancel := reader.callContext(ctx, readTimeout)
 	defer cancel()
 	reader.options.Events.Add(EventRead, 1)
 	snapshot, err := reader.options.Source.ReadAll(ctx)
 	if err != nil {
-		return errors.Wrap(err, "read everything")
+		return errors.Wrap(err, "read all entries")
 	}
-	reader.answered()
+	reader.recordAnswer()
 	reader.applySnapshot(snapshot)
-	reader.whole = true
+	reader.complete = true
 	reader.refreshing = false
 	return reader.publish(ctx)
 }
 
-// answered notes that the source has answered. After an outage, entries that are gone may only have lapsed.
-func (reader *Reader) answered() {
+// recordAnswer records that the source has answered. After an outage, entries that are gone may only have lapsed.
+func (reader *Reader) recordAnswer() {
 	now := reader.options.Clock.Now()
 	reader.mutex.Lock()
-	silent := now.Since(reader.contact)
-	first := reader.contact == 0
-	reader.contact = now
+	silent := now.Since(reader.lastContact)
+	first := reader.lastContact == 0
+	reader.lastContact = now
 	reader.failing = false
 	reader.mutex.Unlock()
 	if reader.failures > 0 {
 		reader.options.Log.Info().Stringer("silentFor", silent).Int("failures", reader.failures).Msg("store answers again")
-		if silent > outageFrom+watchWait || reader.failures > 1 {
-			reader.holdsUntil = min(now.Add(returnWithin), reader.failedAt.Add(holdMost))
+		if silent > outageThreshold+watchWait || reader.failures > 1 {
+			reader.retainUntil = min(now.Add(reregistrationPeriod), reader.failedAt.Add(maxRetention))
 		}
 	}
 	if first {
@@ -275,8 +277,8 @@
 	reader.failures = 0
 }
 
-func sleep(ctx context.Context, length clock.Milliseconds) {
-	timer := time.NewTimer(length.Duration())
+func sleep(ctx context.Context, duration clock.Milliseconds) {
+	timer := time.NewTimer(duration.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -16,17 +16,17 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// source is a store in a synctest bubble.
+// source is a fake store in a synctest bubble.
 type source struct {
 	mutex    sync.Mutex
 	revision Revision
 	items    map[Key]Item
 	events   []event
 	changed  chan struct{}
-	// silent makes every call hang, gone makes watches fail.
-	silent, gone bool
-	refuses      bool
-	reads        int
+	// hangs makes every call hang, compacted makes watches fail with ErrCompacted, refuses makes reads fail at once.
+	hangs, compacted bool
+	refuses          bool
+	reads            int
 }
 
 type event struct {
@@ -58,13 +58,13 @@
 	source.changed = make(chan struct{})
 }
 
-func (source *source) setFaults(silent, gone bool) {
+func (source *source) setFaults(hangs, compacted bool) {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
-	source.silent, source.gone = silent, gone
+	source.hangs, source.compacted = hangs, compacted
 }
 
-// setRefuses has every read refused at once, or answered again.
+// setRefuses sets whether every read is refused at once.
 func (source *source) setRefuses(refuses bool) {
 	source.mutex.Lock()
 	defer source.mutex.Unlock()
@@ -80,13 +80,13 @@
 		source.mutex.Unlock()
 		return Snapshot{}, errRefused
 	}
-	silent := source.silent
+	hangs := source.hangs
 	snapshot := Snapshot{Revision: source.revision}
 	for _, item := range source.items {
 		snapshot.Items = append(snapshot.Items, item)
 	}
 	source.mutex.Unlock()
-	if silent {
+	if hangs {
 		<-ctx.Done()
 		return Snapshot{}, ctx.Err()
 	}
@@ -97,7 +97,7 @@
 	timeout := time.After(wait.Duration())
 	for {
 		source.mutex.Lock()
-		silent, gone, changed := source.silent, source.gone, source.changed
+		hangs, compacted, changed := source.hangs, source.compacted, source.changed
 		changes := Changes{Revision: source.revision}
 		for _, event := range source.events {
 			switch {
@@ -110,10 +110,10 @@
 		}
 		source.mutex.Unlock()
 		switch {
-		case silent:
+		case hangs:
 			<-ctx.Done()
 			return Changes{}, ctx.Err()
-		case gone:
+		case compacted:
 			return Changes{}, ErrCompacted
 		case len(changes.Set)+len(changes.Removed) > 0:
 			return changes, nil
@@ -128,8 +128,8 @@
 	}
 }
 
-// bench is a reader on a source, and what it has published last.
-type bench struct {
+// fixture is a reader with its source, and the view that it published last.
+type fixture struct {
 	source *source
 	reader *Reader
 	mutex  sync.Mutex
@@ -137,58 +137,58 @@
 	peer   *View
 }
 
-func (bench *bench) last() View {
-	bench.mutex.Lock()
-	defer bench.mutex.Unlock()
-	return bench.view
+func (fixture *fixture) last() View {
+	fixture.mutex.Lock()
+	defer fixture.mutex.Unlock()
+	return fixture.view
 }
 
-func (bench *bench) names() []string {
+func (fixture *fixture) names() []string {
 	var names []string
-	for _, server := range bench.last().Servers {
+	for _, server := range fixture.last().Servers {
 		names = append(names, string(server.Name))
 	}
 	return names
 }
 
-var errNoPeerHere = errors.New("no peer")
+var errNoPeer = errors.New("no peer")
 
-func newBench(t *testing.T) *bench {
-	bench := &bench{source: &source{revision: 5, items: map[Key]Item{}, changed: make(chan struct{})}}
-	bench.reader = NewReader(Options{
-		Source: Source{ReadAll: bench.source.readAll, ReadStale: bench.source.readAll, Watch: bench.source.watch},
+func newFixture(t *testing.T) *fixture {
+	fixture := &fixture{source: &source{revision: 5, items: map[Key]Item{}, changed: make(chan struct{})}}
+	fixture.reader = NewReader(Options{
+		Source: Source{ReadAll: fixture.source.readAll, ReadStale: fixture.source.readAll, Watch: fixture.source.watch},
 		FetchFromPeer: func(_ context.Context, after Revision) (Update, error) {
-			bench.mutex.Lock()
-			defer bench.mutex.Unlock()
-			if bench.peer == nil {
-				return Update{}, errNoPeerHere
+			fixture.mutex.Lock()
+			defer fixture.mutex.Unlock()
+			if fixture.peer == nil {
+				return Update{}, errNoPeer
 			}
 			history := NewHistory()
-			history.Record(bench.peer)
+			history.Record(fixture.peer)
 			return history.UpdateSince(after), nil
 		},
 		Publish: func(_ context.Context, view View) error {
-			bench.mutex.Lock()
-			defer bench.mutex.Unlock()
-			bench.view = view
+			fixture.mutex.Lock()
+			defer fixture.mutex.Unlock()
+			fixture.view = view
 			return nil
 		},
 		Clock: clock.New(), Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: func() float64 { return 0.5 },
 	})
-	bench.source.set(configurationItem(7))
-	bench.source.set(serverItem("one", ServerReady))
-	bench.source.set(serverItem("two", ServerReady))
+	fixture.source.set(configurationItem(7))
+	fixture.source.set(serverItem("one", ServerReady))
+	fixture.source.set(serverItem("two", ServerReady))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = bench.reader.Serve(ctx)
+		_ = fixture.reader.Serve(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return bench
+	return fixture
 }
 
 func configurationItem(version Version) Item {
@@ -199,234 +199,237 @@
 	return Item{Key: ServerKey(name), Server: &Server{Name: name, Service: "look", State: state, Slots: 6}}
 }
 
-func pass(length clock.Milliseconds) {
-	time.Sleep(length.Duration())
+func advance(duration clock.Milliseconds) {
+	time.Sleep(duration.Duration())
 	synctest.Wait()
 }
 
-// Changes arrive while a reader leads, and a configuration never goes back to an older version, whoever says it.
+// Guards against a leader that misses changes of the source, and against a configuration that returns to an older version.
 func TestReaderFollowsTheSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		pass(clock.Second)
-		require.Zero(t, bench.last().Revision, "a reader that follows reads nothing by itself")
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		require.Equal(t, []string{"one", "two"}, bench.names())
-		bench.source.set(configurationItem(9))
-		bench.source.set(configurationItem(8))
-		bench.source.remove(ServerKey("one"))
-		bench.source.set(Item{Key: EvacuationKey("sofia-1"), Evacuated: "sofia-1"})
-		pass(clock.Second)
-		require.EqualValues(t, 9, bench.last().Configuration.Version)
-		require.Equal(t, []string{"two"}, bench.names())
-		require.True(t, new(bench.last()).IsEvacuated("sofia-1"))
+		fixture := newFixture(t)
+		advance(clock.Second)
+		require.Zero(t, fixture.last().Revision, "a follower reads nothing by itself")
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		require.Equal(t, []string{"one", "two"}, fixture.names())
+		fixture.source.set(configurationItem(9))
+		fixture.source.set(configurationItem(8))
+		fixture.source.remove(ServerKey("one"))
+		fixture.source.set(Item{Key: EvacuationKey("sofia-1"), Evacuated: "sofia-1"})
+		advance(clock.Second)
+		require.EqualValues(t, 9, fixture.last().Configuration.Version)
+		require.Equal(t, []string{"two"}, fixture.names())
+		require.True(t, new(fixture.last()).IsEvacuated("sofia-1"))
 	})
 }
 
-// Somebody else writes an entry that makes no sense. It names no server, and the others hold.
+// Guards against an entry written by another program that cannot be parsed: it must not count as a server, nor affect the other
+// entries.
 func TestUnreadableEntryIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		bench.source.set(Item{Key: ServerKey("three"), Problem: errors.New("no JSON")})
-		pass(clock.Second)
-		require.Equal(t, []string{"one", "two"}, bench.names())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		fixture.source.set(Item{Key: ServerKey("three"), Problem: errors.New("no JSON")})
+		advance(clock.Second)
+		require.Equal(t, []string{"one", "two"}, fixture.names())
 	})
 }
 
-// The store forgets its history and cuts the watch while a server leaves. Whoever waits for the next change would send work
-// to that server for as long as nothing else changes.
+// Guards against a removal that is missed because the store compacts its history and ends the watch at the same time. Waiting for
+// the next change, the reader would list the removed server as long as nothing else changes.
 func TestLostHistoryIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		bench.source.setFaults(false, true)
-		bench.source.remove(ServerKey("one"))
-		pass(100)
-		bench.source.setFaults(false, false)
-		pass(clock.Second)
-		require.Equal(t, []string{"two"}, bench.names())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		fixture.source.setFaults(false, true)
+		fixture.source.remove(ServerKey("one"))
+		advance(100)
+		fixture.source.setFaults(false, false)
+		advance(clock.Second)
+		require.Equal(t, []string{"two"}, fixture.names())
 	})
 }
 
-// While the store was away, servers could not renew their entries. Those that live are back within two seconds of its
-// return; taken for gone meanwhile, a whole service would have no servers.
+// Guards against a service without servers after an outage of the store, during which servers cannot renew their entries. Running
+// servers are registered again within two seconds of its end.
 func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		bench.source.setFaults(true, false)
-		pass(6 * clock.Second)
-		bench.source.remove(ServerKey("one"))
-		bench.source.remove(ServerKey("two"))
-		bench.source.setFaults(false, false)
-		pass(1500)
-		require.Equal(t, []string{"one", "two"}, bench.names())
-		bench.source.set(serverItem("two", ServerReady))
-		pass(6 * clock.Second)
-		require.Equal(t, []string{"two"}, bench.names())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		fixture.source.setFaults(true, false)
+		advance(6 * clock.Second)
+		fixture.source.remove(ServerKey("one"))
+		fixture.source.remove(ServerKey("two"))
+		fixture.source.setFaults(false, false)
+		advance(1500)
+		require.Equal(t, []string{"one", "two"}, fixture.names())
+		fixture.source.set(serverItem("two", ServerReady))
+		advance(6 * clock.Second)
+		require.Equal(t, []string{"two"}, fixture.names())
 	})
 }
 
-// A reader was cut off and is back, and a moment later a server leaves by taking its entry away. Nothing else changes in the store. The
-// reader holds the entry for one that has only lapsed; were it to look again only when its next watch ends, requests would go to a server that
-// has left long after it said so.
+// Guards against requests to a server long after it removed its entry. A reader was cut off and has returned, and a moment later a
+// server removes its entry; nothing else changes in the store. The reader retains the entry because it may only have lapsed, and
+// must drop it before its next watch ends.
 func TestLapsedEntryIsDroppedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		bench.source.setFaults(true, false)
-		pass(6 * clock.Second)
-		bench.source.setFaults(false, false)
-		for waited := clock.Milliseconds(0); bench.reader.Failing(); waited += 10 {
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		fixture.source.setFaults(true, false)
+		advance(6 * clock.Second)
+		fixture.source.setFaults(false, false)
+		for waited := clock.Milliseconds(0); fixture.reader.Failing(); waited += 10 {
 			require.Less(t, waited, 3*clock.Second)
-			pass(10)
+			advance(10)
 		}
-		pass(1400)
-		bench.source.remove(ServerKey("one"))
-		pass(returnWithin - 1400 + 50)
-		require.Equal(t, []string{"two"}, bench.names())
+		advance(1400)
+		fixture.source.remove(ServerKey("one"))
+		advance(reregistrationPeriod - 1400 + 50)
+		require.Equal(t, []string{"two"}, fixture.names())
 	})
 }
 
-// The store turns this instance away and serves the others. It must go by what a peer has read, and never by an older
-// view than its own.
+// Guards against an instance that the store refuses, while it answers others, and that does not adopt the view of a peer, or adopts
+// an older view than its own.
 func TestPeerHelpsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		bench.source.setFaults(true, false)
-		before := bench.last().Revision
-		bench.mutex.Lock()
-		bench.peer = &View{Revision: before - 1, Configuration: &Configuration{Version: 99}}
-		bench.mutex.Unlock()
-		pass(6 * clock.Second)
-		require.EqualValues(t, 7, bench.last().Configuration.Version)
-		bench.mutex.Lock()
-		bench.peer = &View{Revision: before + 3, Configuration: &Configuration{Version: 11}, Servers: []Server{{Name: "three"}}}
-		bench.mutex.Unlock()
-		pass(6 * clock.Second)
-		require.EqualValues(t, 11, bench.last().Configuration.Version)
-		require.Equal(t, []string{"three"}, bench.names())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		fixture.source.setFaults(true, false)
+		before := fixture.last().Revision
+		fixture.mutex.Lock()
+		fixture.peer = &View{Revision: before - 1, Configuration: &Configuration{Version: 99}}
+		fixture.mutex.Unlock()
+		advance(6 * clock.Second)
+		require.EqualValues(t, 7, fixture.last().Configuration.Version)
+		fixture.mutex.Lock()
+		fixture.peer = &View{Revision: before + 3, Configuration: &Configuration{Version: 11}, Servers: []Server{{Name: "three"}}}
+		fixture.mutex.Unlock()
+		advance(6 * clock.Second)
+		require.EqualValues(t, 11, fixture.last().Configuration.Version)
+		require.Equal(t, []string{"three"}, fixture.names())
 	})
 }
 
-// The store turns away all that serve, so that only one that stands by learns of a new configuration. Told so, a reader that is
-// refused must take it over well within the two seconds in which it has to be in force.
+// Guards against a refused reader that learns too late of a new configuration, which must be in force within two seconds. The store
+// refuses all serving instances, and only a standby instance has read the configuration.
 func TestRefusedReaderTakesOverWhatPeersKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		before := bench.last().Revision
-		bench.source.setFaults(true, false)
-		pass(5 * clock.Second)
-		require.True(t, bench.reader.Failing())
-		bench.mutex.Lock()
-		bench.peer = &View{Revision: before + 1, Configuration: &Configuration{Version: 12}}
-		bench.mutex.Unlock()
-		bench.reader.SetPeerRevision(before + 1)
-		pass(1300)
-		require.EqualValues(t, 12, bench.last().Configuration.Version)
-		bench.source.setFaults(false, false)
-		pass(2 * clock.Second)
-		require.False(t, bench.reader.Failing())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		before := fixture.last().Revision
+		fixture.source.setFaults(true, false)
+		advance(5 * clock.Second)
+		require.True(t, fixture.reader.Failing())
+		fixture.mutex.Lock()
+		fixture.peer = &View{Revision: before + 1, Configuration: &Configuration{Version: 12}}
+		fixture.mutex.Unlock()
+		fixture.reader.SetPeerRevision(before + 1)
+		advance(1300)
+		require.EqualValues(t, 12, fixture.last().Configuration.Version)
+		fixture.source.setFaults(false, false)
+		advance(2 * clock.Second)
+		require.False(t, fixture.reader.Failing())
 	})
 }
 
-// An instance that stands by reads a serving peer's view when that is newer, and makes no call to the store.
+// Guards against calls of standby instances to the store: they read a serving peer's view when that is newer.
 func TestFollowerReadsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.peer = &View{Revision: 40, Configuration: &Configuration{Version: 3}}
-		bench.reader.SetPeerRevision(40)
-		pass(clock.Second)
-		require.EqualValues(t, 3, bench.last().Configuration.Version)
-		require.Zero(t, bench.source.reads)
+		fixture := newFixture(t)
+		fixture.peer = &View{Revision: 40, Configuration: &Configuration{Version: 3}}
+		fixture.reader.SetPeerRevision(40)
+		advance(clock.Second)
+		require.EqualValues(t, 3, fixture.last().Configuration.Version)
+		require.Zero(t, fixture.source.reads)
 	})
 }
 
-// A connection to the store goes silent for good while new ones work. What changes meanwhile must be known within 3 s.
+// Guards against a connection to the store that stops answering for good while new ones work: changes must still be known within 3
+// s.
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Second)
-		bench.source.setFaults(true, false)
-		pass(clock.Second)
-		bench.source.remove(ServerKey("one"))
-		// The watch under way hangs; those that follow are answered.
-		bench.source.setFaults(false, false)
-		pass(2900)
-		require.Equal(t, []string{"two"}, bench.names())
+		fixture := newFixture(t)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Second)
+		fixture.source.setFaults(true, false)
+		advance(clock.Second)
+		fixture.source.remove(ServerKey("one"))
+		// The watch in progress hangs; later ones are answered.
+		fixture.source.setFaults(false, false)
+		advance(2900)
+		require.Equal(t, []string{"two"}, fixture.names())
 	})
 }
 
-// The store is away from everybody. Those that serve look for its return often; a hundred that stand by would make calls by
-// the thousand, so they take their time, but are back within 3 s, and at once when they are called to serve.
-func TestStandInsCallRarelyWhileTheStoreIsAway(t *testing.T) {
+// Guards against too many calls to a store that answers no instance. Serving instances check often for its return; a hundred standby
+// instances at that rate would make thousands of calls. They pause longer, but must read the store within 3 s of its return, and at
+// once when they begin to serve.
+func TestFallbackReadersCallRarelyDuringAnOutage(t *testing.T) {
 	cases := []struct {
-		name        string
-		role        Role
-		least, most int
+		name               string
+		role               Role
+		minReads, maxReads int
 	}{
-		{"stands in", RoleFallback, 4, 7},
+		{"fallback reader", RoleFallback, 4, 7},
 		{"serves", RoleLeader, 12, 24},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bench := newBench(t)
-				bench.source.setRefuses(true)
-				bench.reader.SetRole(testCase.role)
-				pass(8 * clock.Second)
-				require.GreaterOrEqual(t, bench.source.reads, testCase.least)
-				require.LessOrEqual(t, bench.source.reads, testCase.most)
-				bench.source.setRefuses(false)
-				pass(3 * clock.Second)
-				require.Equal(t, []string{"one", "two"}, bench.names())
+				fixture := newFixture(t)
+				fixture.source.setRefuses(true)
+				fixture.reader.SetRole(testCase.role)
+				advance(8 * clock.Second)
+				require.GreaterOrEqual(t, fixture.source.reads, testCase.minReads)
+				require.LessOrEqual(t, fixture.source.reads, testCase.maxReads)
+				fixture.source.setRefuses(false)
+				advance(3 * clock.Second)
+				require.Equal(t, []string{"one", "two"}, fixture.names())
 			})
 		})
 	}
 }
 
-// An instance that stands by waits between two calls to a store that is away, and is called to serve. Callers come at once, so
-// it must not wait on.
-func TestPauseEndsWhenCalledToServe(t *testing.T) {
+// Guards against a fallback reader that waits for the end of its pause after it has become the leader: callers send requests at
+// once.
+func TestPauseEndsWhenRoleChangesToLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.source.setRefuses(true)
-		bench.reader.SetRole(RoleFallback)
-		pass(4 * clock.Second)
-		bench.source.setRefuses(false)
-		bench.reader.SetRole(RoleLeader)
-		pass(clock.Millisecond)
-		require.Equal(t, []string{"one", "two"}, bench.names())
+		fixture := newFixture(t)
+		fixture.source.setRefuses(true)
+		fixture.reader.SetRole(RoleFallback)
+		advance(4 * clock.Second)
+		fixture.source.setRefuses(false)
+		fixture.reader.SetRole(RoleLeader)
+		advance(clock.Millisecond)
+		require.Equal(t, []string{"one", "two"}, fixture.names())
 	})
 }
 
-// Guards against an instance that was restarted and serves nobody until those that read the store have told it their view.
-func TestStaleViewServesUntilPeersTell(t *testing.T) {
+// Guards against a restarted instance that has no view until those that read the store have answered it.
+func TestStaleViewServesUntilPeersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := newBench(t)
-		bench.reader.ReadStale()
-		pass(100)
-		require.Equal(t, []string{"one", "two"}, bench.names())
-		require.Zero(t, bench.reader.LastContact(), "an old view does not tell that the source answers")
-		bench.mutex.Lock()
-		bench.peer = &View{Revision: bench.view.Revision + 2, Configuration: &Configuration{Version: 9}, Servers: []Server{{Name: "three"}}}
-		bench.mutex.Unlock()
-		bench.reader.SetPeerRevision(bench.last().Revision + 2)
-		pass(500)
-		require.Equal(t, []string{"three"}, bench.names())
-		reads := bench.source.reads
-		bench.reader.ReadStale()
-		pass(500)
-		require.Equal(t, reads, bench.source.reads, "one that has a view has no use for an old one")
+		fixture := newFixture(t)
+		fixture.reader.ReadStale()
+		advance(100)
+		require.Equal(t, []string{"one", "two"}, fixture.names())
+		require.Zero(t, fixture.reader.LastContact(), "a stale read does not show that the source answers")
+		fixture.mutex.Lock()
+		fixture.peer = &View{Revision: fixture.view.Revision + 2, Configuration: &Configuration{Version: 9}, Servers: []Server{{Name: "three"}}}
+		fixture.mutex.Unlock()
+		fixture.reader.SetPeerRevision(fixture.last().Revision + 2)
+		advance(500)
+		require.Equal(t, []string{"three"}, fixture.names())
+		reads := fixture.source.reads
+		fixture.reader.ReadStale()
+		advance(500)
+		require.Equal(t, reads, fixture.source.reads, "a reader that has a view makes no stale read")
 	})
 }
--- a/internal/catalog/retry.go
+++ b/internal/catalog/retry.go
@@ -9,8 +9,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// fail waits after a failed call, and asks a peer meanwhile when the source has been silent for long.
-func (reader *Reader) fail(ctx context.Context, err error) {
+// handleFailure waits after a failed call, and first asks a peer when the source has not answered for long.
+func (reader *Reader) handleFailure(ctx context.Context, err error) {
 	if reader.interrupted(err) {
 		return
 	}
@@ -25,26 +25,26 @@
 	reader.failing = true
 	reader.mutex.Unlock()
 	silent := reader.options.Clock.Now().Since(reader.LastContact())
-	if reader.LastContact() == 0 || silent > askPeersAfter {
+	if reader.LastContact() == 0 || silent > peerFallbackAfter {
 		reader.readPeer(ctx, false)
 	}
 	reader.pause(ctx, reader.backoff())
 }
 
-// backoff is the pause after a failed call.
+// backoff returns the pause after a failed call.
 func (reader *Reader) backoff() clock.Milliseconds {
-	first, most := firstBackoff, mostBackoff
+	initial, maximum := initialBackoff, maxBackoff
 	reader.mutex.Lock()
 	if reader.role == RoleFallback {
-		first, most = firstBackoffStandby, mostBackoffStandby
+		initial, maximum = initialBackoffFallback, maxBackoffFallback
 	}
 	reader.mutex.Unlock()
-	backoff := min(first*clock.Milliseconds(int(1)<<min(reader.failures-1, 8)), most)
+	backoff := min(initial*clock.Milliseconds(int(1)<<min(reader.failures-1, 8)), maximum)
 	return backoff * clock.Milliseconds(0.5+reader.options.Jitter())
 }
 
-// pause waits after a failed call. When a peer turns out to know more meanwhile, its view is read at once: an instance that
-// the store turns away is bound by what the others know.
+// pause waits after a failed call. A newer view of a peer that becomes known meanwhile is read at once: an instance that the store
+// refuses must apply what the others know.
 func (reader *Reader) pause(ctx context.Context, length clock.Milliseconds) {
 	timer := time.NewTimer(length.Duration())
 	defer timer.Stop()
@@ -60,10 +60,10 @@
 		case <-reader.wake:
 		}
 		reader.mutex.Lock()
-		behind, goesOn := reader.follows > reader.revision, reader.role == role && !reader.refresh
+		behind, unchanged := reader.peerRevision > reader.revision, reader.role == role && !reader.refreshRequested
 		reader.mutex.Unlock()
-		if !goesOn {
-			reader.nudge()
+		if !unchanged {
+			reader.signal()
 			return
 		}
 		if behind {
@@ -72,12 +72,12 @@
 	}
 }
 
-// interrupted reports whether a call ended because the reader was told to stop or to read anew.
+// interrupted reports whether a call was cancelled because the reader became a follower or a refresh was requested.
 func (reader *Reader) interrupted(err error) bool {
 	if !errors.Is(err, context.Canceled) {
 		return false
 	}
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.role == RoleFollower || reader.refresh
+	return reader.role == RoleFollower || reader.refreshRequested
 }
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -9,7 +9,7 @@
 // Role is how a reader keeps its view current. Few instances read the source, whose calls are limited and priced.
 type Role int
 
-// SetRole changes how the view is kept current.
+// SetRole changes the role.
 func (reader *Reader) SetRole(role Role) {
 	reader.mutex.Lock()
 	before := reader.role
@@ -25,83 +25,83 @@
 	if (role == RoleFollower || before == RoleFollower) && cancel != nil {
 		cancel()
 	}
-	reader.nudge()
+	reader.signal()
 }
 
-// SetPeerRevision says that a peer has the given revision.
+// SetPeerRevision sets the newest revision that a peer is known to have.
 func (reader *Reader) SetPeerRevision(revision Revision) {
 	reader.mutex.Lock()
-	newer := revision > reader.follows
-	reader.follows = revision
+	newer := revision > reader.peerRevision
+	reader.peerRevision = revision
 	cancel := reader.cancelIO
 	readingStale := reader.readingStale
 	reader.mutex.Unlock()
 	if readingStale && newer {
 		cancel()
 	}
-	reader.nudge()
+	reader.signal()
 }
 
-// Refresh has everything read anew at once: after a pause of this process, or when a peer knows a newer revision while
-// the watch stays silent.
+// Refresh requests that everything is read again at once: after a suspension of this process, or when a peer has a newer revision
+// that the watch has not returned.
 func (reader *Reader) Refresh() {
 	reader.mutex.Lock()
-	reader.refresh = true
+	reader.refreshRequested = true
 	cancel := reader.cancelIO
 	reader.mutex.Unlock()
 	if cancel != nil {
 		cancel()
 	}
-	reader.nudge()
+	reader.signal()
 }
 
-// CatchUp says that a peer has known the given newer revision for a while. A watch that has not told of it is given up, a peer is asked, and
-// everything is read anew. A call that reads goes on: on a slow link it would else be given up each time before it ends.
+// CatchUp reports that a peer has had the given newer revision for some time. A watch in progress is cancelled, a peer is asked, and
+// everything is read again. A read in progress is not cancelled: on a slow link it would never complete.
 func (reader *Reader) CatchUp(newest Revision) {
 	reader.mutex.Lock()
-	reader.follows = newest
+	reader.peerRevision = newest
 	var cancel context.CancelFunc
 	if reader.watching {
-		reader.refresh = true
+		reader.refreshRequested = true
 		cancel = reader.cancelIO
 	}
 	reader.mutex.Unlock()
 	if cancel != nil {
 		cancel()
 	}
-	reader.nudge()
+	reader.signal()
 }
 
-// ReadStale has everything read once as it was some seconds ago, for an instance that knows nothing yet.
+// ReadStale requests one stale read of everything, for an instance that has no view yet.
 func (reader *Reader) ReadStale() {
 	reader.mutex.Lock()
-	reader.staleWanted = true
+	reader.staleRequested = true
 	reader.mutex.Unlock()
-	reader.nudge()
+	reader.signal()
 }
 
-// LastContact returns when the source last answered, 0 before the first time.
+// LastContact returns when the source last answered, 0 before its first answer.
 func (reader *Reader) LastContact() clock.Moment {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.contact
+	return reader.lastContact
 }
 
-// Failing reports whether the source's last answer was none, or a refusal.
+// Failing reports whether the last call to the source was refused or not answered.
 func (reader *Reader) Failing() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.failing
 }
 
-// PeerFailing reports whether peers did not tell their view when they were last asked.
+// PeerFailing reports whether peers did not answer when they were last asked.
 func (reader *Reader) PeerFailing() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.peerFailing
 }
 
-func (reader *Reader) nudge() {
+func (reader *Reader) signal() {
 	select {
 	case reader.wake <- struct{}{}:
 	default:
--- a/internal/catalog/stale.go
+++ b/internal/catalog/stale.go
@@ -14,26 +14,27 @@
 func (reader *Reader) behind() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.follows > reader.revision
+	return reader.peerRevision > reader.revision
 }
 
-// readStale does what ReadStale asks for. It tells nothing of whether the source answers, nor what it holds now.
+// readStale makes a stale read if one is requested. Its result shows neither whether the source answers current reads, nor its
+// current content.
 func (reader *Reader) readStale(ctx context.Context) {
 	reader.mutex.Lock()
-	wanted := reader.staleWanted
-	reader.staleWanted = false
+	wanted := reader.staleRequested
+	reader.staleRequested = false
 	reader.mutex.Unlock()
 	if !wanted || reader.configuration != nil {
 		return
 	}
 	if reader.behind() {
-		// A peer's view is newer, and may be had while the store is away.
+		// A peer's view is newer, and available during an outage of the store.
 		reader.readPeer(ctx, false)
 	}
 	if reader.configuration != nil {
 		return
 	}
-	ctx, cancel := reader.cancellable(ctx, staleTimeout)
+	ctx, cancel := reader.cancellableContext(ctx, staleTimeout)
 	defer cancel()
 	reader.setReadingStale(true)
 	defer reader.setReadingStale(false)
@@ -44,5 +45,5 @@
 		return
 	}
 	reader.applySnapshot(snapshot)
-	reader.handOn(ctx)
+	reader.publishOrLog(ctx)
 }
--- a/internal/catalog/update.go
+++ b/internal/catalog/update.go
@@ -12,35 +12,35 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Update is what one instance tells another of its view: all of it, or what has changed since a revision. Most changes
-// concern one server of hundreds; told whole, each would cost every instance that follows the reading of all of them.
+// Update is a view for another instance: all of it, or the changes since a revision. Most changes concern one server of hundreds; if
+// each change were sent as a whole view, every follower would have to read all servers each time.
 type Update struct {
 	_ struct{} `cbor:",toarray"`
 
 	Revision Revision
-	// Since is the revision to which the update is to be applied, 0 when it tells everything.
+	// Since is the revision that the update applies to, 0 when it contains everything.
 	Since Revision
 	// Configuration is nil when it has not changed.
 	Configuration *Configuration
 	Servers       []Server
 	Removed       []settings.TargetName
 	Evacuated     []settings.DataCentreName
-	// Digest is that of all servers after the update. Two instances that read the source differ for a while in the servers
-	// that they keep after an outage; an update of the one to the view of the other would leave servers behind that nobody
-	// ever removes, and requests would be sent to them.
+	// Digest is the digest of all servers after the update. Two instances that read the source may for a while retain different
+	// servers after an outage. An update from one, applied to a view of the other, could leave servers behind that are never
+	// removed, and requests would be sent to them.
 	Digest Digest
-	// RetainedFor is the time after which the update may hold no more although nothing changes in the source, 0 when that is not so: some
-	// servers are kept for a while after an outage.
+	// RetainedFor is the time after which the update may be outdated without a change of the source, because a server that is
+	// retained after an outage is dropped; 0 when none is retained.
 	RetainedFor clock.Milliseconds
 }
 
-// Digest stands for a set of servers.
+// Digest is a hash of a set of servers.
 type Digest uint64
 
-// ErrMismatch says that an update does not fit the view to which it was to be applied; all must be read.
-var ErrMismatch = errors.New("the update does not fit the view")
+// ErrMismatch means that an update does not apply to a view, and everything must be read.
+var ErrMismatch = errors.New("update does not apply to the view")
 
-// Apply returns the view after the update. The error is ErrMismatch.
+// Apply returns the view after the update, or ErrMismatch.
 func (update *Update) Apply(base *View) (View, error) {
 	view := View{Revision: update.Revision, Configuration: update.Configuration, Evacuated: update.Evacuated}
 	if update.Since == 0 {
@@ -48,7 +48,7 @@
 		return view, update.check(&view)
 	}
 	if base.Revision != update.Since {
-		return View{}, errors.Wrapf(ErrMismatch, "it is for revision %d, the view has %d", update.Since, base.Revision)
+		return View{}, errors.Wrapf(ErrMismatch, "update is for revision %d, view has revision %d", update.Since, base.Revision)
 	}
 	if view.Configuration == nil {
 		view.Configuration = base.Configuration
@@ -71,25 +71,25 @@
 
 func (update *Update) check(view *View) error {
 	if digest := digestOf(view.Servers); digest != update.Digest {
-		return errors.Wrapf(ErrMismatch, "digest %x, not %x", digest, update.Digest)
+		return errors.Wrapf(ErrMismatch, "servers have digest %x, update has %x", digest, update.Digest)
 	}
 	return nil
 }
 
-// digestOf does not depend on the order of the servers.
+// digestOf returns the digest of the servers, which does not depend on their order.
 func digestOf(servers []Server) Digest {
 	var digest Digest
 	sum := fnv.New64a()
 	for index := range servers {
 		sum.Reset()
-		servers[index].digest(sum)
+		servers[index].writeTo(sum)
 		digest ^= Digest(sum.Sum64())
 	}
 	return digest
 }
 
-// digest writes to a hash, which never fails.
-func (server *Server) digest(sum hash.Hash64) {
+// writeTo writes the server to a hash, which never fails.
+func (server *Server) writeTo(sum hash.Hash64) {
 	for _, text := range []string{string(server.Name), string(server.Service), server.Address, string(server.DataCentre), string(server.State)} {
 		_, _ = sum.Write([]byte(text))
 		_, _ = sum.Write([]byte{0})
@@ -101,41 +101,40 @@
 	_, _ = sum.Write(numbers[:])
 }
 
-// History remembers when the parts of a view last changed, so that others can be told what has changed since they looked. It
-// belongs to one goroutine.
+// History records when the parts of a view last changed, to make updates since earlier revisions. It is not safe for concurrent use.
 type History struct {
 	view *View
-	// from is the first revision since which every change is known.
-	from            Revision
-	configurationAt Revision
-	servers         map[settings.TargetName]dated
-	removed         map[settings.TargetName]Revision
-	digest          Digest
+	// firstRevision is the first revision since which every change is known.
+	firstRevision          Revision
+	configurationChangedAt Revision
+	servers                map[settings.TargetName]revisionedServer
+	removed                map[settings.TargetName]Revision
+	digest                 Digest
 }
 
-// dated is a server and the revision with which it became what it is.
-type dated struct {
-	server Server
-	at     Revision
+// revisionedServer is a server and the revision at which it last changed.
+type revisionedServer struct {
+	server    Server
+	changedAt Revision
 }
 
-// removedMost is the number of removed servers that are remembered: more than a data centre has. When there are more, those who
-// ask read everything.
-const removedMost = 512
+// maxRemoved is the number of removed servers that are kept, more than a data centre has. When there are more, followers read
+// everything.
+const maxRemoved = 512
 
-// NewHistory returns a history that knows nothing.
+// NewHistory returns an empty history.
 func NewHistory() *History {
-	return &History{servers: map[settings.TargetName]dated{}, removed: map[settings.TargetName]Revision{}}
+	return &History{servers: map[settings.TargetName]revisionedServer{}, removed: map[settings.TargetName]Revision{}}
 }
 
-// Record takes a newer view.
+// Record records a newer view.
 func (history *History) Record(view *View) {
-	if history.view == nil || len(history.removed) > removedMost {
-		history.from = view.Revision
+	if history.view == nil || len(history.removed) > maxRemoved {
+		history.firstRevision = view.Revision
 		clear(history.removed)
 	}
 	if history.view == nil || view.Configuration != history.view.Configuration {
-		history.configurationAt = view.Revision
+		history.configurationChangedAt = view.Revision
 	}
 	present := make(map[settings.TargetName]bool, len(view.Servers))
 	for index := range view.Servers {
@@ -143,7 +142,7 @@
 		present[server.Name] = true
 		delete(history.removed, server.Name)
 		if known, found := history.servers[server.Name]; !found || known.server != server {
-			history.servers[server.Name] = dated{server: server, at: view.Revision}
+			history.servers[server.Name] = revisionedServer{server: server, changedAt: view.Revision}
 		}
 	}
 	for name := range history.servers {
@@ -156,20 +155,20 @@
 	history.digest = digestOf(view.Servers)
 }
 
-// UpdateSince returns what has changed after a revision, or everything when that is not known. It must not be called before Note.
+// UpdateSince returns the changes after a revision, or everything when those are not known. Record must have been called before.
 func (history *History) UpdateSince(after Revision) Update {
 	update := Update{Revision: history.view.Revision, Evacuated: history.view.Evacuated, Digest: history.digest}
-	if after == 0 || after < history.from || after > history.view.Revision {
+	if after == 0 || after < history.firstRevision || after > history.view.Revision {
 		update.Configuration = history.view.Configuration
 		update.Servers = history.view.Servers
 		return update
 	}
 	update.Since = after
-	if history.configurationAt > after {
+	if history.configurationChangedAt > after {
 		update.Configuration = history.view.Configuration
 	}
 	for index := range history.view.Servers {
-		if name := history.view.Servers[index].Name; history.servers[name].at > after {
+		if name := history.view.Servers[index].Name; history.servers[name].changedAt > after {
 			update.Servers = append(update.Servers, history.view.Servers[index])
 		}
 	}
--- a/internal/catalog/update_test.go
+++ b/internal/catalog/update_test.go
@@ -11,15 +11,15 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// teller is an instance that reads the source, and what the source held at each revision.
-type teller struct {
+// publisher is an instance that reads the source, with the views of the source at each revision.
+type publisher struct {
 	history *History
 	views   []View
 }
 
-// newTeller lets servers come, change and go at random, one revision at a time.
-func newTeller(random *rand.Rand, revisions int) *teller {
-	teller := &teller{history: NewHistory()}
+// newPublisher returns a publisher whose servers are added, changed and removed at random, one revision at a time.
+func newPublisher(random *rand.Rand, revisions int) *publisher {
+	publisher := &publisher{history: NewHistory()}
 	configuration := &Configuration{Version: 1}
 	servers := map[settings.TargetName]Server{}
 	for revision := range revisions {
@@ -36,35 +36,35 @@
 		for _, server := range servers {
 			view.Servers = append(view.Servers, server)
 		}
-		teller.views = append(teller.views, view)
+		publisher.views = append(publisher.views, view)
 	}
-	return teller
+	return publisher
 }
 
-// Instances that stand by look at a serving one now and then, and each time are told only what has changed since. Whatever
-// came and went between two looks, they must know the same as the one that reads the source.
+// Guards against standby instances whose view differs from that of the instance that reads the source. They read from a serving
+// instance at intervals, and get only the changes since the last time, whatever was added and removed in between.
 func TestUpdatesLeadToTheSameView(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		teller := newTeller(random, 200)
+		publisher := newPublisher(random, 200)
 		var known View
-		for index := range teller.views {
-			teller.history.Record(&teller.views[index])
+		for index := range publisher.views {
+			publisher.history.Record(&publisher.views[index])
 			if random.IntN(4) > 0 {
 				continue
 			}
-			update := teller.history.UpdateSince(known.Revision)
+			update := publisher.history.UpdateSince(known.Revision)
 			view, err := update.Apply(&known)
 			require.NoError(t, err)
-			require.Equal(t, teller.views[index].Configuration, view.Configuration)
-			require.ElementsMatch(t, teller.views[index].Servers, view.Servers)
+			require.Equal(t, publisher.views[index].Configuration, view.Configuration)
+			require.ElementsMatch(t, publisher.views[index].Servers, view.Servers)
 			known = view
 		}
 	}
 }
 
-// Two instances read the source, and one of them still keeps a server that lapsed while the source was away. Whoever has
-// followed the one and asks the other must notice that its view does not fit, and read everything.
+// Guards against an update that is applied to the wrong view. Two instances read the source, and one of them still retains a server
+// that lapsed during an outage. An instance that followed the one and asks the other must detect the difference and read everything.
 func TestUpdateThatDoesNotFit(t *testing.T) {
 	configuration := &Configuration{Version: 1}
 	kept := Server{Name: "kept", State: ServerReady}
@@ -73,9 +73,9 @@
 	history.Record(&View{Revision: 4, Configuration: configuration, Servers: []Server{stays}})
 	history.Record(&View{Revision: 6, Configuration: configuration, Servers: []Server{stays}})
 	cases := []struct {
-		name string
-		base View
-		fits bool
+		name    string
+		base    View
+		applies bool
 	}{
 		{"the same", View{Revision: 5, Configuration: configuration, Servers: []Server{stays}}, true},
 		{"one more", View{Revision: 5, Configuration: configuration, Servers: []Server{stays, kept}}, false},
@@ -85,7 +85,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			update := history.UpdateSince(5)
 			view, err := update.Apply(&testCase.base)
-			if !testCase.fits {
+			if !testCase.applies {
 				require.ErrorIs(t, err, ErrMismatch)
 				return
 			}
@@ -94,7 +94,7 @@
 		})
 	}
 	whole := history.UpdateSince(3)
-	require.Zero(t, whole.Since, "changes since before the history began are not known")
+	require.Zero(t, whole.Since, "changes since before the start of the history are not known")
 	view, err := whole.Apply(&View{Revision: 3, Servers: []Server{kept}})
 	require.NoError(t, err)
 	require.True(t, slices.Equal([]Server{stays}, view.Servers))
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -8,27 +8,28 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Revision counts the changes of a source. A higher one is newer.
+// Revision is the number of a change of a source. Higher revisions are newer.
 type Revision uint64
 
-// Version numbers one state of the configuration. Versions rise, in uneven steps.
+// Version is the number of a state of the configuration. Versions increase, not always by one.
 type Version uint64
 
-// Configuration is everything that operators decide, complete.
+// Configuration is everything that operators configure.
 type Configuration struct {
 	_ struct{} `cbor:",toarray"`
 
 	Version  Version
 	Routes   []Route
 	Services map[settings.ServiceName]ServiceLimits
-	// NeedsKeys says that requests need the API key of one of the teams, on all routes that are not public.
+	// NeedsKeys is whether requests need the API key of one of the teams, on all routes that are not public.
 	NeedsKeys bool
 	Teams     []team.Team
-	// Warnings say what in it was not understood, and what stands in for it. They are for the log of whoever read the source.
+	// Warnings are the parts of the configuration that were not understood, and what is used in their place. They are for the log of
+	// the instance that read the source.
 	Warnings []string `cbor:"-"`
 }
 
-// Route sends the requests of a host below a path prefix to one service, or splits them.
+// Route assigns the requests of a host below a path prefix to one service, or splits them among several.
 type Route struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -36,22 +37,22 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Idempotent says that a request may run more than once.
+	// Idempotent is whether a request may run more than once.
 	Idempotent bool
-	// Timeout is the longest time that a request may be kept without its final answer.
+	// Timeout is the maximum time until a request gets its final answer.
 	Timeout clock.Milliseconds
-	// SoftDeadline is the time within which an answer is worth most.
+	// SoftDeadline is the time within which an answer has its full value.
 	SoftDeadline clock.Milliseconds
-	// Attempts is the largest number of backend servers that one request may be sent to.
+	// Attempts is the maximum number of backend servers that one request may be sent to.
 	Attempts int
 	Priority settings.Priority
-	// Public says that requests need no API key.
+	// Public is whether requests need no API key.
 	Public bool
-	// Split is empty when it is not known where the requests belong. They are refused then, and go by no other route.
+	// Split is empty when the service of the requests is not known. They are refused then, and use no other route.
 	Split []Share
 }
 
-// Share is a service's part of a route's requests.
+// Share is the share of a route's requests that a service gets.
 type Share struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -59,19 +60,19 @@
 	Weight  int
 }
 
-// ServiceLimits are what operators say of a service's backend servers.
+// ServiceLimits are the settings that operators publish for a service's backend servers.
 type ServiceLimits struct {
 	_ struct{} `cbor:",toarray"`
 
-	// ProbePath is empty when servers are not to be probed.
+	// ProbePath is empty when servers must not be probed.
 	ProbePath string
-	// MaxConnections is the number of connections that one backend server takes from all callers together.
+	// MaxConnections is the maximum number of connections to one backend server from all callers together.
 	MaxConnections int
-	// ColdRate is how many requests a second a cold backend server bears.
+	// ColdRate is the number of requests a second that a cold backend server can handle.
 	ColdRate float64
 }
 
-// ServerState tells whether a backend server takes new work.
+// ServerState is whether a backend server takes new requests.
 type ServerState string
 
 // The states of a backend server.
@@ -80,7 +81,8 @@
 	ServerLeaving ServerState = "leaving"
 )
 
-// Server is one backend server. Its Name belongs to one run of it, mostly; Started tells runs under one name apart.
+// Server is one backend server. In most cases a Name is used by only one run of a server; Started distinguishes runs with the same
+// name.
 type Server struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -90,23 +92,23 @@
 	DataCentre settings.DataCentreName
 	Slots      int
 	State      ServerState
-	// ColdFor is how long it stays cold, counted from when it said so.
+	// ColdFor is how long the server stays cold from the time at which it reported this.
 	ColdFor clock.Milliseconds
-	// Started is when it started, by its own wall clock; only whether it changed counts.
+	// Started is the server's start time by its own clock. It is only compared for equality.
 	Started int64
 }
 
-// View is what a source held at one revision.
+// View is the content of a source at one revision.
 type View struct {
 	Revision      Revision
 	Configuration *Configuration
 	Servers       []Server
 	Evacuated     []settings.DataCentreName
-	// RetainedUntil is when the first of the servers is dropped whose entries are gone and may only have lapsed, 0 when there is none.
+	// RetainedUntil is when the first server is dropped whose entry is gone and may only have lapsed, 0 when there is none.
 	RetainedUntil clock.Moment `cbor:"-"`
 }
 
-// IsEvacuated reports whether operators have taken the data centre out.
+// IsEvacuated reports whether operators have evacuated the data centre.
 func (view *View) IsEvacuated(name settings.DataCentreName) bool {
 	return slices.Contains(view.Evacuated, name)
 }
