--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -352,8 +352,8 @@
 	})
 }
 
-// Guards against a connection to the store that stops answering for good while new ones work: changes must still be known within 3
-// s.
+// Guards against a connection to the store that stops answering for good while new ones work: changes must still be known
+// within 3 s.
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -147,7 +147,7 @@
 	nextHeartbeat        clock.Moment
 	// lastOtherMessage is when the last message other than a heartbeat came from the member.
 	lastOtherMessage clock.Moment
-	// lastSent is when the last heartbeat was sent to the member. replyDue is whether it is owed a heartbeat outside the schedule,
+	// lastSent is when the last heartbeat was sent to the member. replyDue is whether it needs a heartbeat outside the schedule,
 	// lastWasReply whether the last one was sent only for that reason.
 	lastSent               clock.Moment
 	replyDue, lastWasReply bool
