--- a/internal/catalog/encoding_test.go
+++ b/internal/catalog/encoding_test.go
@@ -13,16 +13,16 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// largeUpdate tells everything of a fleet with the given numbers of backend servers and routes.
+// largeUpdate returns a complete update for the given numbers of backend servers and routes.
 func largeUpdate(servers, routes int) Update {
 	random := rand.New(rand.NewPCG(uint64(servers), uint64(routes)))
 	update := Update{Revision: 900, Configuration: &Configuration{
-		Version: 12, Services: map[settings.ServiceName]ServiceLimits{"lookups": {ProbePath: "/health", ConnectionsMost: 40, ColdRate: 2.7}},
+		Version: 12, Services: map[settings.ServiceName]ServiceLimits{"lookups": {ProbePath: "/health", MaxConnections: 40, ColdRate: 2.7}},
 	}}
 	for number := range routes {
 		update.Configuration.Routes = append(update.Configuration.Routes, Route{
 			Name: settings.ClassName(fmt.Sprintf("route-%d", number)), Host: "bookings.example", Prefix: fmt.Sprintf("/%x/", random.Uint64()),
-			Idempotent: true, Timeout: 5 * clock.Second, Aim: 1500, Attempts: 2, Priority: 2, Split: []Share{{Service: "lookups", Weight: 1}},
+			Idempotent: true, Timeout: 5 * clock.Second, SoftDeadline: 1500, Attempts: 2, Priority: 2, Split: []Share{{Service: "lookups", Weight: 1}},
 		})
 	}
 	for number := range servers {
@@ -35,9 +35,9 @@
 	return update
 }
 
-func TestUpdateIsReadAsItWasTold(t *testing.T) {
+func TestUpdateIsDecodedAsEncoded(t *testing.T) {
 	cases := []Update{
-		{Revision: 7, Since: 6, Removed: []settings.TargetName{"one"}, Out: []settings.DataCentreName{"sofia-1"}, Digest: 3, HeldFor: 700.5},
+		{Revision: 7, Since: 6, Removed: []settings.TargetName{"one"}, Evacuated: []settings.DataCentreName{"sofia-1"}, Digest: 3, RetainedFor: 700.5},
 		largeUpdate(540, 20), largeUpdate(3, 1400),
 	}
 	for _, update := range cases {
@@ -49,10 +49,10 @@
 	}
 }
 
-// Guards against views so large that a small instance's link takes seconds to tell them to those that stand by.
+// Guards against views so large that the link of a small instance takes seconds to send them to the standby instances.
 func TestWholeViewIsSmall(t *testing.T) {
 	cases := []struct {
-		servers, routes, most int
+		servers, routes, maxLength int
 	}{
 		{540, 20, 30 << 10},
 		{920, 60, 50 << 10},
@@ -63,11 +63,11 @@
 		encoded, err := update.Encode()
 		require.NoError(t, err)
 		t.Logf("%d servers, %d routes: %d bytes", testCase.servers, testCase.routes, len(encoded))
-		require.Less(t, len(encoded), testCase.most)
+		require.Less(t, len(encoded), testCase.maxLength)
 	}
 }
 
-// Guards against keys of teams that make up most of what those that stand by are told.
+// Guards against API keys of teams that make up most of the data sent to standby instances.
 func TestViewWithTeamsIsSmall(t *testing.T) {
 	lengths := map[int]int{}
 	for _, count := range []int{0, 100, 10_000} {
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -30,7 +30,7 @@
 	}
 	advertised := make([]membership.Identity, 0, len(controller.serving))
 	for _, identity := range controller.serving {
-		if !controller.view.IsOut(identity.DataCentre) {
+		if !controller.view.IsEvacuated(identity.DataCentre) {
 			advertised = append(advertised, identity)
 		}
 	}
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -169,7 +169,7 @@
 	for index, testCase := range cases {
 		changed := newView(30, fixtureDataCentres)
 		changed.Revision = catalog.Revision(index + 2)
-		changed.Out = testCase.out
+		changed.Evacuated = testCase.out
 		fixture.controller.applyView(changed)
 		var expected []string
 		for _, number := range testCase.advertised {
--- a/internal/fleet/load_generator_test.go
+++ b/internal/fleet/load_generator_test.go
@@ -39,7 +39,7 @@
 func (loadGenerator *loadGenerator) probe(now clock.Moment) {
 	for _, job := range loadGenerator.jobs {
 		reading := service.LoadReading{At: now, Slots: 2, Slowdown: 1, ColdKnown: true, ColdFor: clock.Minute}
-		loadGenerator.controller.RecordProbe(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, Reading: reading}})
+		loadGenerator.controller.RecordProbe(sensing.Result{Service: job.Service, Target: job.Target, Health: sensing.Health{Healthy: true, LoadReading: reading}})
 	}
 }
 
--- a/internal/fleet/reader_role.go
+++ b/internal/fleet/reader_role.go
@@ -16,7 +16,7 @@
 		controller.role = role
 		controller.catalogReader.SetRole(role)
 	}
-	readsStore := role != catalog.RoleFollow
+	readsStore := role != catalog.RoleFollower
 	switch {
 	case readsStore:
 		controller.followPeerOnStoreFailure(now)
@@ -38,13 +38,13 @@
 	silent := leaders.LastSeen > 0 && now.Since(max(leaders.LastSeen, controller.started)) >= silentLeadersTimeout || controller.missesUpdate()
 	switch {
 	case serves || controller.view == nil && controller.readsAtStart(now):
-		return catalog.RoleLead
+		return catalog.RoleLeader
 	case silent:
-		return catalog.RoleStandIn
+		return catalog.RoleFallback
 	case controller.leaderlessSince > 0 && now.Since(controller.leaderlessSince) >= controller.leaderlessTimeout() && now.Since(controller.started) >= restartReadDelayNext:
-		return catalog.RoleStandIn
+		return catalog.RoleFallback
 	default:
-		return catalog.RoleFollow
+		return catalog.RoleFollower
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 	}
 	contact := controller.catalogReader.LastContact()
-	fresh := controller.role != catalog.RoleFollow && !controller.catalogReader.Failing() && contact > 0 && now.Since(contact) < maxFreshContactAge
+	fresh := controller.role != catalog.RoleFollower && !controller.catalogReader.Failing() && contact > 0 && now.Since(contact) < maxFreshContactAge
 	controller.members.SetCatalog(revision, version, fresh)
 }
 
@@ -114,7 +114,7 @@
 // checkBehind catches up with a newer revision that a serving peer has had for a while.
 func (controller *Controller) checkBehind(now clock.Moment) {
 	newer, maxBehind := false, behindTimeout
-	if controller.role != catalog.RoleFollow && controller.view != nil {
+	if controller.role != catalog.RoleFollower && controller.view != nil {
 		newer = controller.members.Leaders().NewestRevision > controller.view.Revision
 		if controller.versionBehind() {
 			maxBehind = versionBehindTimeout
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -24,8 +24,8 @@
 		if controller.view == nil {
 			return nil
 		}
-		update := controller.history.Since(after)
-		update.HeldFor = controller.heldFor()
+		update := controller.history.UpdateSince(after)
+		update.RetainedFor = controller.heldFor()
 		return &update
 	})
 	if err != nil {
@@ -44,10 +44,10 @@
 // heldFor returns the time after which the view may change although the revision of the store does not, or 0 if it does not
 // change.
 func (controller *Controller) heldFor() clock.Milliseconds {
-	if controller.view.HeldUntil == 0 {
+	if controller.view.RetainedUntil == 0 {
 		return 0
 	}
-	return max(controller.view.HeldUntil.Since(controller.options.Clock.Now()), minHeldFor)
+	return max(controller.view.RetainedUntil.Since(controller.options.Clock.Now()), minHeldFor)
 }
 
 // updateTimeout bounds a request to a peer for the changes after a revision, which are mostly a few backend servers.
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -63,12 +63,12 @@
 		SetJobs: func(jobs []sensing.Job) { process.jobs = jobs },
 	})
 	reader := catalog.NewReader(catalog.Options{
-		Source: fleet.store.source(process), FromPeer: process.fromPeer, Publish: process.controller.SetView,
+		Source: fleet.store.source(process), FetchFromPeer: process.fromPeer, Publish: process.controller.SetView,
 		Clock: own, Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: rand.New(rand.NewPCG(random.Uint64(), 2)).Float64,
 	})
 	process.controller.SetCatalogReader(CatalogReader{
-		SetRole: reader.SetRole, Follow: reader.Follow, Refresh: reader.Refresh, CatchUp: reader.CatchUp, ReadStale: reader.ReadStale,
-		LastContact: reader.Contact, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
+		SetRole: reader.SetRole, Follow: reader.SetPeerRevision, Refresh: reader.Refresh, CatchUp: reader.CatchUp, ReadStale: reader.ReadStale,
+		LastContact: reader.LastContact, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -141,7 +141,7 @@
 		switch {
 		case controller.Table() == nil:
 			return "has no routes"
-		case serves != (controller.role != catalog.RoleFollow):
+		case serves != (controller.role != catalog.RoleFollower):
 			return "reads the store if and only if it does not serve"
 		case unchanged && !maps.Equal(owners, controller.owners):
 			return fmt.Sprintf("has wrong owners: %v, not %v", controller.owners, owners)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,14 +146,14 @@
 	peers := &peerReader{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	gateway.reader = catalog.NewReader(catalog.Options{
 		Source: gateway.options.Platform.Source, Publish: gateway.controller.SetView,
-		FromPeer: func(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
+		FetchFromPeer: func(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
 			return gateway.controller.FetchFromPeer(ctx, after, peers.read)
 		},
 		Clock: gateway.clock, Events: events, Log: gateway.options.Log, Jitter: rand.Float64,
 	})
 	gateway.controller.SetCatalogReader(fleet.CatalogReader{
-		SetRole: gateway.reader.SetRole, Follow: gateway.reader.Follow, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
-		ReadStale: gateway.reader.ReadStale, LastContact: gateway.reader.Contact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
+		SetRole: gateway.reader.SetRole, Follow: gateway.reader.SetPeerRevision, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
+		ReadStale: gateway.reader.ReadStale, LastContact: gateway.reader.LastContact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
 	})
 }
 
