--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -57,7 +57,7 @@
 		if attempt.Reused {
 			connection = "a kept connection"
 		}
-		fmt.Fprintf(out, "   sent on %s; after %s: %s", connection, round(attempt.Took), attempt.Result)
+		fmt.Fprintf(out, "   sent on %s; after %s: %s", connection, round(attempt.Duration), attempt.Result)
 		if attempt.Status != 0 {
 			fmt.Fprintf(out, ", status %d", attempt.Status)
 		}
@@ -66,7 +66,7 @@
 		}
 		fmt.Fprintln(out)
 	}
-	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", story.Outcome, story.Reason, story.Status, round(story.Whole))
+	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", story.Outcome, story.Reason, story.Status, round(story.Duration))
 	if story.Error != "" {
 		fmt.Fprintf(out, "because: %s\n", story.Error)
 	}
@@ -74,8 +74,8 @@
 
 func whyChosen(attempt trace.Attempt) string {
 	if attempt.Considered == 0 {
-		return fmt.Sprintf("no place was free; waited %s until %s in %s had one", round(attempt.Waited), attempt.Target, attempt.DataCentre)
+		return fmt.Sprintf("no place was free; waited %s until %s in %s had one", round(attempt.QueueWait), attempt.Target, attempt.DataCentre)
 	}
 	return fmt.Sprintf("of %d targets with a free place, %s in %s had the smallest share taken (%d with this request)",
-		attempt.Considered, attempt.Target, attempt.DataCentre, attempt.Taken)
+		attempt.Considered, attempt.Target, attempt.DataCentre, attempt.InFlight)
 }
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -144,8 +144,8 @@
 func TestExplainIsReadable(t *testing.T) {
 	address := answering(t, operator.ExplainPath, trace.Request{
 		ID: "r-1", Outcome: "answered", Attempts: []trace.Attempt{
-			{Target: "browsing-1", Considered: 20, Taken: 2, Result: trace.ResultCut, Error: "connection reset"},
-			{Target: "browsing-2", Waited: 12, Reused: true, Status: 200, Result: trace.ResultAnswered},
+			{Target: "browsing-1", Considered: 20, InFlight: 2, Result: trace.ResultNoResponse, Error: "connection reset"},
+			{Target: "browsing-2", QueueWait: 12, Reused: true, Status: 200, Result: trace.ResultAnswered},
 		},
 	})
 	code, out, _ := runLine("explain", "--operator", address, "r-1")
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -40,7 +40,7 @@
 	call.lastTarget = attempt.permit.Target
 	call.body.streamUsed = call.body.streamUsed || attempt.connected
 	if attempt.exchange != nil {
-		call.route.Class.Metrics.Attempt.Record(attempt.trace.Took)
+		call.route.Class.Metrics.AttemptDuration.Record(attempt.trace.Duration)
 	}
 	call.attempts = append(call.attempts, attempt.trace)
 }
@@ -54,8 +54,8 @@
 	exchange, err := call.handler.options.Servers.Send(ctx, target.Name, request, freshOnly)
 	attempt := attempt{permit: permit, exchange: exchange, err: err, connected: !isConnectError(err)}
 	attempt.trace = trace.Attempt{
-		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Listed, Taken: permit.Taken, Waited: permit.Waited,
-		Slowdown: permit.Reading.Slowdown, ReadingAge: max(permit.ReadingAge(before), 0),
+		Target: target.Name, DataCentre: target.DataCentre, Considered: permit.Listed, InFlight: permit.Taken, QueueWait: permit.Waited,
+		Slowdown: permit.Reading.Slowdown, LoadReadingAge: max(permit.ReadingAge(before), 0),
 	}
 	if err == nil {
 		call.handleResponse(&attempt)
@@ -63,7 +63,7 @@
 	if attempt.err != nil {
 		call.handleError(ctx, &attempt)
 	}
-	attempt.trace.Took = call.now().Since(before)
+	attempt.trace.Duration = call.now().Since(before)
 	return attempt
 }
 
@@ -81,7 +81,7 @@
 	attempt.budgetExempt = attempt.notRun && reused
 	attempt.trace.Reused = reused
 	attempt.trace.Error = attempt.err.Error()
-	attempt.trace.Result = trace.ResultCut
+	attempt.trace.Result = trace.ResultNoResponse
 	if attempt.notRun {
 		attempt.trace.Result = trace.ResultNotWritten
 	}
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -230,7 +230,7 @@
 	elapsed := call.now().Since(call.started)
 	requestTrace := trace.Request{
 		ID: call.id, Started: time.Now().Add(-elapsed.Duration()), Method: call.request.Method,
-		Attempts: call.attempts, Outcome: result, Reason: reason, Status: status, Whole: elapsed,
+		Attempts: call.attempts, Outcome: result, Reason: reason, Status: status, Duration: elapsed,
 	}
 	if cause != nil {
 		requestTrace.Error = cause.Error()
@@ -265,8 +265,8 @@
 func (call *call) recordMetrics(elapsed clock.Milliseconds, result outcome.Outcome, reason outcome.Reason) {
 	classMetrics := call.route.Class.Metrics
 	classMetrics.Count(result, reason)
-	classMetrics.Whole.Record(elapsed)
+	classMetrics.Duration.Record(elapsed)
 	if call.queueTime > 0 {
-		classMetrics.Queued.Record(call.queueTime)
+		classMetrics.QueueWait.Record(call.queueTime)
 	}
 }
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -123,7 +123,7 @@
 // outcomeSoFar returns Unknown if an earlier attempt may have run, otherwise NotRun.
 func (call *call) outcomeSoFar() outcome.Outcome {
 	for _, earlier := range call.attempts {
-		if earlier.Result == trace.ResultCut {
+		if earlier.Result == trace.ResultNoResponse {
 			return outcome.Unknown
 		}
 	}
@@ -176,7 +176,7 @@
 	if limit == 0 {
 		limit = call.route.Service.Settings.Retry.Attempts
 	}
-	return min(limit, trace.AttemptsMost)
+	return min(limit, trace.MaxAttempts)
 }
 
 // respondWithFailure ends a request that is not retried with an error response.
--- a/internal/caller/forward_test.go
+++ b/internal/caller/forward_test.go
@@ -264,7 +264,7 @@
 		require.Equal(t, trace.ResultAnswered, last.Result)
 		require.EqualValues(t, working, last.Target)
 		if len(requestTrace.Attempts) == 2 {
-			require.Equal(t, trace.ResultCut, requestTrace.Attempts[0].Result)
+			require.Equal(t, trace.ResultNoResponse, requestTrace.Attempts[0].Result)
 			require.EqualValues(t, cutting, requestTrace.Attempts[0].Target)
 			require.Equal(t, 2, requestTrace.Attempts[0].Considered)
 			return
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -40,8 +40,8 @@
 		return *winner
 	}
 	call.attempts = append(call.attempts, trace.Attempt{
-		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Listed, Taken: first.Taken,
-		Waited: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultCut, Error: "hedged request was sent",
+		Target: first.Target.Name, DataCentre: first.Target.DataCentre, Considered: first.Listed, InFlight: first.Taken,
+		QueueWait: first.Waited, Slowdown: first.Reading.Slowdown, Result: trace.ResultNoResponse, Error: "hedged request was sent",
 	})
 	call.route.Class.Metrics.CountRetry()
 	call.chargeRetry()
--- a/internal/caller/response.go
+++ b/internal/caller/response.go
@@ -127,7 +127,7 @@
 	call.setWriteDeadline()
 	call.writer.WriteHeader(response.StatusCode)
 	addedLatency := call.now().Since(call.started) - call.queueTime - call.attemptTime
-	call.route.Class.Metrics.Added.Record(addedLatency)
+	call.route.Class.Metrics.Overhead.Record(addedLatency)
 }
 
 // copyResponseBody forwards the body as it arrives. A response of unknown length is flushed after each read, since it may be
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -15,9 +15,9 @@
 
 // Events of the configuration.
 const (
-	EventSettingsApplied = "settings.applied"
-	EventSettingsRefused = "settings.refused"
-	EventSettingsOld     = "settings.notNewer"
+	EventSettingsApplied  = "settings.applied"
+	EventSettingsRejected = "settings.refused"
+	EventSettingsNotNewer = "settings.notNewer"
 )
 
 var errUnknownKey = errors.New("no such document")
@@ -45,7 +45,7 @@
 	events := &controller.options.Registry.Events
 	switch {
 	case err != nil:
-		events.Add(EventSettingsRefused, 1)
+		events.Add(EventSettingsRejected, 1)
 		if controller.problems[key] != err.Error() {
 			controller.problems[key] = err.Error()
 			controller.options.Log.Error().Str("key", key).Str("problem", err.Error()).Msg("settings refused, the last good ones stay")
@@ -55,7 +55,7 @@
 		delete(controller.problems, key)
 		controller.options.Log.Info().Str("key", key).Msg("settings in force")
 	default:
-		events.Add(EventSettingsOld, 1)
+		events.Add(EventSettingsNotNewer, 1)
 		delete(controller.problems, key)
 	}
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -44,9 +44,9 @@
 	Policy service.Policy
 	// Send sends a heartbeat to a peer.
 	Send func(netip.AddrPort, instance.Heartbeat)
-	// AskReport asks for a target's load report without blocking, and reports whether it was taken. The answer comes
+	// RequestReport asks for a target's load report without blocking, and reports whether it was taken. The answer comes
 	// through ReportRead.
-	AskReport func(ReportRequest) bool
+	RequestReport func(ReportRequest) bool
 }
 
 // ReportRequest names a load report to read.
--- a/internal/control/controller_bench_test.go
+++ b/internal/control/controller_bench_test.go
@@ -35,7 +35,7 @@
 	controller := NewController(Options{
 		Name: "entry-0", DataCentre: "sofia-1", Incarnation: 1, Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
 		Servers: backendserver.NewServers(&manual.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
-		Send: send, AskReport: func(ReportRequest) bool { return true },
+		Send: send, RequestReport: func(ReportRequest) bool { return true },
 	})
 	list := platform.List{}
 	for number := range peers + 1 {
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -69,8 +69,8 @@
 		Name: name, DataCentre: dataCentreOf(number - 1), Incarnation: instance.Incarnation(1 + fleet.manual.Now()), Clock: &fleet.manual.Clock,
 		Rand: rand.New(rand.NewPCG(uint64(number), 1)), Servers: backendserver.NewServers(&fleet.manual.Clock),
 		Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
-		Send:      func(to netip.AddrPort, heartbeat instance.Heartbeat) { fleet.deliver(name, to, heartbeat) },
-		AskReport: func(ReportRequest) bool { return true },
+		Send:          func(to netip.AddrPort, heartbeat instance.Heartbeat) { fleet.deliver(name, to, heartbeat) },
+		RequestReport: func(ReportRequest) bool { return true },
 	})
 	fleet.members[name] = controller
 	fleet.list.Instances = append(fleet.list.Instances, platform.Instance{
@@ -406,7 +406,7 @@
 			fleet.run(20 * clock.Second)
 			asked := map[settings.TargetName]int{}
 			for _, controller := range fleet.members {
-				controller.options.AskReport = func(request ReportRequest) bool {
+				controller.options.RequestReport = func(request ReportRequest) bool {
 					asked[request.Target]++
 					return true
 				}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -15,11 +15,11 @@
 
 // Events of peers.
 const (
-	EventPeerSuspected = "peer.suspected"
-	EventPeerBack      = "peer.back"
-	EventPeerUnknown   = "peer.notListed"
-	EventPeerReplayed  = "peer.oldDatagram"
-	EventListApplied   = "list.applied"
+	EventPeerSuspected   = "peer.suspected"
+	EventPeerRecovered   = "peer.back"
+	EventPeerNotListed   = "peer.notListed"
+	EventPeerOldDatagram = "peer.oldDatagram"
+	EventListApplied     = "list.applied"
 )
 
 // peerState is what is known of another entry instance.
@@ -146,7 +146,7 @@
 		}
 		peer.suspected = suspected
 		changed = true
-		event := EventPeerBack
+		event := EventPeerRecovered
 		if suspected {
 			event = EventPeerSuspected
 		}
@@ -164,12 +164,12 @@
 	heartbeat := received.heartbeat
 	peer, known := controller.peers[heartbeat.From]
 	if !known {
-		controller.options.Registry.Events.Add(EventPeerUnknown, 1)
+		controller.options.Registry.Events.Add(EventPeerNotListed, 1)
 		return
 	}
 	older := heartbeat.Incarnation < peer.incarnation
 	if older || heartbeat.Incarnation == peer.incarnation && heartbeat.Sequence <= peer.sequence {
-		controller.options.Registry.Events.Add(EventPeerReplayed, 1)
+		controller.options.Registry.Events.Add(EventPeerOldDatagram, 1)
 		return
 	}
 	if heartbeat.Incarnation != peer.incarnation {
--- a/internal/control/reportreader.go
+++ b/internal/control/reportreader.go
@@ -8,29 +8,29 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// readersAtOnce is how many load reports are read at the same time. One takes about 6 ms, so this is enough for
+// maxConcurrentReads is how many load reports are read at the same time. One takes about 6 ms, so this is enough for
 // thousands a second; a target that does not answer holds one reader for its timeout.
-const readersAtOnce = 16
+const maxConcurrentReads = 16
 
-// Reporter reads load reports, so that the control goroutine never waits for a backend server.
-type Reporter struct {
+// ReportReader reads load reports, so that the control goroutine never waits for a backend server.
+type ReportReader struct {
 	requests chan ReportRequest
 	read     func(context.Context, settings.TargetName, string) (backendserver.Report, error)
 	deliver  func(ReportRequest, backendserver.Report, error)
 }
 
-// NewReporter returns a reporter that reads by read and gives what it read to deliver.
-func NewReporter(
+// NewReportReader returns a reportReader that reads by read and gives what it read to deliver.
+func NewReportReader(
 	read func(context.Context, settings.TargetName, string) (backendserver.Report, error),
 	deliver func(ReportRequest, backendserver.Report, error),
-) *Reporter {
-	return &Reporter{requests: make(chan ReportRequest, readersAtOnce), read: read, deliver: deliver}
+) *ReportReader {
+	return &ReportReader{requests: make(chan ReportRequest, maxConcurrentReads), read: read, deliver: deliver}
 }
 
-// Ask takes a request if there is room for it, and never blocks.
-func (reporter *Reporter) Ask(request ReportRequest) bool {
+// Enqueue takes a request if there is room for it, and never blocks.
+func (reportReader *ReportReader) Enqueue(request ReportRequest) bool {
 	select {
-	case reporter.requests <- request:
+	case reportReader.requests <- request:
 		return true
 	default:
 		return false
@@ -38,23 +38,23 @@
 }
 
 // Serve reads until the context ends.
-func (reporter *Reporter) Serve(ctx context.Context) error {
+func (reportReader *ReportReader) Serve(ctx context.Context) error {
 	var readers sync.WaitGroup
-	for range readersAtOnce {
-		readers.Go(func() { reporter.readAll(ctx) })
+	for range maxConcurrentReads {
+		readers.Go(func() { reportReader.readLoop(ctx) })
 	}
 	readers.Wait()
 	return ctx.Err()
 }
 
-func (reporter *Reporter) readAll(ctx context.Context) {
+func (reportReader *ReportReader) readLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case request := <-reporter.requests:
-			report, err := reporter.read(ctx, request.Target, request.Path)
-			reporter.deliver(request, report, err)
+		case request := <-reportReader.requests:
+			report, err := reportReader.read(ctx, request.Target, request.Path)
+			reportReader.deliver(request, report, err)
 		}
 	}
 }
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -12,13 +12,13 @@
 
 // Events of backend servers.
 const (
-	EventTargetAdded   = "target.added"
-	EventTargetRemoved = "target.removed"
-	EventTargetCold    = "target.cold"
-	EventTargetWarm    = "target.warm"
-	EventReportRead    = "report.read"
-	EventReportFailed  = "report.failed"
-	EventReportAsked   = "report.asked"
+	EventTargetAdded     = "target.added"
+	EventTargetRemoved   = "target.removed"
+	EventTargetCold      = "target.cold"
+	EventTargetWarm      = "target.warm"
+	EventReportRead      = "report.read"
+	EventReportFailed    = "report.failed"
+	EventReportRequested = "report.asked"
 )
 
 // phase is how far a backend server has come since it started.
@@ -194,8 +194,8 @@
 	every := clock.Second / clock.Milliseconds(controller.site.Measuring.ReportsPerTargetPerSecond)
 	target.nextReport = now.Add(every)
 	request := ReportRequest{Service: state.name, Target: name, Path: state.settings.ReportPath}
-	if controller.options.AskReport(request) {
-		controller.options.Registry.Events.Add(EventReportAsked, 1)
+	if controller.options.RequestReport(request) {
+		controller.options.Registry.Events.Add(EventReportRequested, 1)
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -58,8 +58,8 @@
 	tree       *supervisor.Tree
 	control    *supervisor.Tree
 	traffic    *supervisor.Tree
-	callers    *httppart.Part
-	operators  *httppart.Part
+	callers    *httppart.Server
+	operators  *httppart.Server
 }
 
 // New binds the addresses for callers and operators and makes every part; nothing runs until Serve.
@@ -92,24 +92,24 @@
 	if err != nil {
 		return err
 	}
-	reporter := control.NewReporter(entry.servers.ReadReport, func(request control.ReportRequest, report backendserver.Report, err error) {
+	reporter := control.NewReportReader(entry.servers.ReadReport, func(request control.ReportRequest, report backendserver.Report, err error) {
 		controller.ReportRead(request, report, err)
 	})
 	controller = control.NewController(control.Options{
 		Name: process.Instance, DataCentre: process.DataCentre,
 		Incarnation: instance.Incarnation(time.Now().UnixMilli()),
 		Clock:       entry.clock, Rand: random, Servers: entry.servers, Registry: entry.registry, Log: entry.options.Log,
-		Send: plane.Send, AskReport: reporter.Ask, Policy: entry.options.Policy,
+		Send: plane.Send, RequestReport: reporter.Enqueue, Policy: entry.options.Policy,
 	})
 	watch := platform.WatchOptions{
 		Client: platform.NewClient(process.Platform), Events: &entry.registry.Events, Log: entry.options.Log, Jitter: rand.Float64,
 	}
 	branch := supervisor.New("control", options)
-	branch.Add(supervisor.Part{Name: "controller", Serve: controller.Serve})
-	branch.Add(supervisor.Part{Name: "peers", Serve: plane.Serve})
-	branch.Add(supervisor.Part{Name: "reports", Serve: reporter.Serve})
-	branch.Add(supervisor.Part{Name: "configuration", Serve: platform.NewConfigurationWatcher(watch, controller.DocumentRead).Serve})
-	branch.Add(supervisor.Part{Name: "list", Serve: platform.NewListWatcher(watch, controller.ListRead).Serve})
+	branch.Add(supervisor.Component{Name: "controller", Serve: controller.Serve})
+	branch.Add(supervisor.Component{Name: "peers", Serve: plane.Serve})
+	branch.Add(supervisor.Component{Name: "reports", Serve: reporter.Serve})
+	branch.Add(supervisor.Component{Name: "configuration", Serve: platform.NewConfigurationWatcher(watch, controller.DocumentRead).Serve})
+	branch.Add(supervisor.Component{Name: "list", Serve: platform.NewListWatcher(watch, controller.ListRead).Serve})
 	entry.controller = controller
 	entry.plane = plane
 	entry.control = branch
@@ -138,8 +138,8 @@
 		return errors.CombineErrors(err, entry.callers.Close())
 	}
 	branch := supervisor.New("traffic", supervisor.Options{Log: entry.options.Log, Events: &entry.registry.Events})
-	branch.Add(supervisor.Part{Name: "callers", Serve: entry.callers.Serve})
-	branch.Add(supervisor.Part{Name: "operators", Serve: entry.operators.Serve})
+	branch.Add(supervisor.Component{Name: "callers", Serve: entry.callers.Serve})
+	branch.Add(supervisor.Component{Name: "operators", Serve: entry.operators.Serve})
 	entry.traffic = branch
 	entry.tree.AddTree(branch)
 	return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,10 +55,10 @@
 // and how callers ask for addresses.
 type Platform struct {
 	Source catalog.Source
-	// SetStore changes where the store is.
-	SetStore  func(address string)
-	Dialect   *caller.Dialect
-	ReadProbe func(*http.Response) sensing.Health
+	// SetStoreAddress changes where the store is.
+	SetStoreAddress func(address string)
+	Dialect         *caller.Dialect
+	ReadProbe       func(*http.Response) sensing.Health
 	// Directory and Readiness return the handlers for callers that ask for addresses and for whoever asks whether this
 	// instance serves.
 	Directory func(addresses func() ([]string, clock.Milliseconds)) http.Handler
@@ -87,7 +87,7 @@
 	traces     *trace.Ring
 	quota      *quota.Ledger
 	updates    updateCache
-	callers    *httppart.Part
+	callers    *httppart.Server
 	handler    *caller.Handler
 	parts      []namedPart
 	tree       *supervisor.Tree
@@ -98,7 +98,7 @@
 
 // namedPart is a server and its name in the tree.
 type namedPart struct {
-	*httppart.Part
+	*httppart.Server
 
 	name string
 }
@@ -188,9 +188,9 @@
 		if err != nil {
 			return errors.Wrapf(err, "listen for %s", entry.name)
 		}
-		gateway.parts = append(gateway.parts, namedPart{name: entry.name, Part: part})
+		gateway.parts = append(gateway.parts, namedPart{name: entry.name, Server: part})
 	}
-	gateway.callers = gateway.parts[0].Part
+	gateway.callers = gateway.parts[0].Server
 	return nil
 }
 
@@ -218,13 +218,13 @@
 func (gateway *Gateway) makeTree() {
 	options := supervisor.Options{Log: gateway.options.Log, Events: &gateway.registry.Events}
 	control := supervisor.New("control", options)
-	control.Add(supervisor.Part{Name: "controller", Serve: gateway.controller.Serve})
-	control.Add(supervisor.Part{Name: "datagrams", Serve: gateway.datagrams.Serve})
-	control.Add(supervisor.Part{Name: "catalog", Serve: gateway.reader.Serve})
-	control.Add(supervisor.Part{Name: "probes", Serve: gateway.prober.Serve})
+	control.Add(supervisor.Component{Name: "controller", Serve: gateway.controller.Serve})
+	control.Add(supervisor.Component{Name: "datagrams", Serve: gateway.datagrams.Serve})
+	control.Add(supervisor.Component{Name: "catalog", Serve: gateway.reader.Serve})
+	control.Add(supervisor.Component{Name: "probes", Serve: gateway.prober.Serve})
 	traffic := supervisor.New("traffic", options)
 	for _, part := range gateway.parts {
-		traffic.Add(supervisor.Part{Name: part.name, Serve: part.Serve})
+		traffic.Add(supervisor.Component{Name: part.name, Serve: part.Serve})
 	}
 	gateway.tree = supervisor.New("gateway", options)
 	gateway.tree.AddTree(control)
@@ -264,7 +264,7 @@
 	if !gateway.options.Settings.SameIdentity(file) {
 		gateway.options.Log.Warn().Msg("settings: who the instance is and where it listens changes only with a restart")
 	}
-	gateway.options.Platform.SetStore(file.StoreAddress)
+	gateway.options.Platform.SetStoreAddress(file.StoreAddress)
 	if before := gateway.storeAddress.Swap(&file.StoreAddress); *before != file.StoreAddress {
 		// What has changed since a revision of one store can't be asked of another.
 		gateway.reader.Refresh()
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -18,8 +18,8 @@
 	plainPerSecond   = 10
 )
 
-// EventLinesLeftOut counts requests without a line.
-const EventLinesLeftOut = "log.linesLeftOut"
+// EventLogLinesDropped counts requests without a line.
+const EventLogLinesDropped = "log.linesLeftOut"
 
 // decisionLog writes a line for each request that ends, within bounds.
 type decisionLog struct {
@@ -40,7 +40,7 @@
 func (decisionLog *decisionLog) write(story *trace.Request) {
 	unusual := story.Outcome != outcome.Answered || len(story.Attempts) > 1
 	if !decisionLog.spend(unusual) {
-		decisionLog.events.Add(EventLinesLeftOut, 1)
+		decisionLog.events.Add(EventLogLinesDropped, 1)
 		return
 	}
 	line := decisionLog.log.Info()
@@ -49,7 +49,7 @@
 	}
 	line.Str("id", string(story.ID)).Str("service", string(story.Service)).Str("class", string(story.Class)).Str("team", story.Tenant).
 		Uint64("version", uint64(story.Revision)).Str("outcome", string(story.Outcome)).Str("reason", string(story.Reason)).
-		Int("status", story.Status).Float64("wholeMs", float64(story.Whole)).Float64("timeoutMs", float64(story.Timeout))
+		Int("status", story.Status).Float64("wholeMs", float64(story.Duration)).Float64("timeoutMs", float64(story.Timeout))
 	attempts := zerolog.Arr()
 	for index := range story.Attempts {
 		attempts.Object(attemptLine{&story.Attempts[index]})
@@ -70,9 +70,9 @@
 func (attemptLine attemptLine) MarshalZerologObject(event *zerolog.Event) {
 	event.Str("target", string(attemptLine.Target)).Str("dataCentre", string(attemptLine.DataCentre)).
 		Str("result", string(attemptLine.Result)).Int("status", attemptLine.Status).
-		Int("considered", attemptLine.Considered).Int("taken", attemptLine.Taken).Float64("slowdown", attemptLine.Slowdown).
-		Float64("readingAgeMs", float64(attemptLine.ReadingAge)).Float64("waitedMs", float64(attemptLine.Waited)).
-		Float64("tookMs", float64(attemptLine.Took))
+		Int("considered", attemptLine.Considered).Int("taken", attemptLine.InFlight).Float64("slowdown", attemptLine.Slowdown).
+		Float64("readingAgeMs", float64(attemptLine.LoadReadingAge)).Float64("waitedMs", float64(attemptLine.QueueWait)).
+		Float64("tookMs", float64(attemptLine.Duration))
 	if attemptLine.Error != "" {
 		event.Str("problem", attemptLine.Error)
 	}
--- a/internal/httppart/httppart.go
+++ b/internal/httppart/httppart.go
@@ -4,9 +4,9 @@
 // # Usage
 //
 //	part, err := httppart.New(server, "10.0.0.4:8080", httppart.Listen)
-//	tree.Add(supervisor.Part{Name: "callers", Serve: part.Serve})
+//	tree.Add(supervisor.Part{Name: "callers", Serve: server.Serve})
 //	...
-//	part.Shutdown(ctx) // returns when no request is under way any more
+//	server.Shutdown(ctx) // returns when no request is under way any more
 package httppart
 
 import (
@@ -31,11 +31,11 @@
 	return Listener{Listener: listener}, err
 }
 
-// Part is an HTTP server as a part of a tree.
-type Part struct {
-	server  *http.Server
-	listen  func(address string) (Listener, error)
-	address string
+// Server is an HTTP server as a part of a tree.
+type Server struct {
+	httpServer *http.Server
+	listen     func(address string) (Listener, error)
+	address    string
 
 	mutex    sync.Mutex
 	listener Listener
@@ -46,24 +46,24 @@
 }
 
 // New binds the address and returns a part that answers there once it is served.
-func New(server *http.Server, address string, listen func(string) (Listener, error)) (*Part, error) {
+func New(httpServer *http.Server, address string, listen func(string) (Listener, error)) (*Server, error) {
 	listener, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
-	return &Part{server: server, listen: listen, address: listener.Addr().String(), listener: listener}, nil
+	return &Server{httpServer: httpServer, listen: listen, address: listener.Addr().String(), listener: listener}, nil
 }
 
 // Serve answers until the context ends, or until the part has been shut down.
-func (part *Part) Serve(ctx context.Context) error {
-	listener, err := part.takeListener()
+func (server *Server) Serve(ctx context.Context) error {
+	listener, err := server.takeListener()
 	if err != nil {
 		return err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = part.server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.httpServer.Close() })
 	defer stop()
-	err = part.server.Serve(listener)
-	if errors.Is(err, http.ErrServerClosed) || part.isDrained() {
+	err = server.httpServer.Serve(listener)
+	if errors.Is(err, http.ErrServerClosed) || server.isDrained() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -71,47 +71,47 @@
 }
 
 // Address is where the part listens.
-func (part *Part) Address() string {
-	return part.address
+func (server *Server) Address() string {
+	return server.address
 }
 
 // Close gives up the address of a part that was never served.
-func (part *Part) Close() error {
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	if part.served {
+func (server *Server) Close() error {
+	server.mutex.Lock()
+	defer server.mutex.Unlock()
+	if server.served {
 		return nil
 	}
-	return part.listener.Close()
+	return server.listener.Close()
 }
 
-func (part *Part) takeListener() (Listener, error) {
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	if part.served && !part.drained {
-		listener, err := part.listen(part.address)
+func (server *Server) takeListener() (Listener, error) {
+	server.mutex.Lock()
+	defer server.mutex.Unlock()
+	if server.served && !server.drained {
+		listener, err := server.listen(server.address)
 		if err != nil {
 			return Listener{}, err
 		}
-		part.former = append(part.former, part.listener)
-		part.listener = listener
+		server.former = append(server.former, server.listener)
+		server.listener = listener
 	}
-	part.served = true
-	return part.listener, nil
+	server.served = true
+	return server.listener, nil
 }
 
-func (part *Part) isDrained() bool {
-	part.mutex.Lock()
-	defer part.mutex.Unlock()
-	return part.drained
+func (server *Server) isDrained() bool {
+	server.mutex.Lock()
+	defer server.mutex.Unlock()
+	return server.drained
 }
 
 // Shutdown ends listening and waits for the requests under way.
-func (part *Part) Shutdown(ctx context.Context) error {
-	part.mutex.Lock()
-	part.drained = true
-	listeners := append([]Listener{part.listener}, part.former...)
-	part.mutex.Unlock()
+func (server *Server) Shutdown(ctx context.Context) error {
+	server.mutex.Lock()
+	server.drained = true
+	listeners := append([]Listener{server.listener}, server.former...)
+	server.mutex.Unlock()
 	var draining sync.WaitGroup
 	failed := make([]error, len(listeners))
 	for index, listener := range listeners {
@@ -123,5 +123,5 @@
 	if err := errors.Join(failed...); err != nil {
 		return err
 	}
-	return part.server.Shutdown(ctx)
+	return server.httpServer.Shutdown(ctx)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -61,7 +61,7 @@
 	P90   float64 `json:"p90Ms"`
 	P99   float64 `json:"p99Ms"`
 	P999  float64 `json:"p999Ms"`
-	Most  float64 `json:"mostMs"`
+	Max   float64 `json:"mostMs"`
 }
 
 // Quantiles reads the histogram.
@@ -77,20 +77,20 @@
 	return Quantiles{
 		Count: histogram.counts.TotalCount(),
 		P50:   at(50), P90: at(90), P99: at(99), P999: at(99.9),
-		Most: float64(histogram.counts.Max()) / microsecondsPerMilli,
+		Max: float64(histogram.counts.Max()) / microsecondsPerMilli,
 	}
 }
 
 // Class holds what is counted and measured for one class of one tenant's service.
 type Class struct {
-	// Whole is the time from a request's arrival to the end of its answer.
-	Whole *Histogram
-	// Added is the time to the start of the answer, less queueing and attempts: what the instance itself costs.
-	Added *Histogram
-	// Queued is the time spent waiting for a place, of requests that waited.
-	Queued *Histogram
-	// Attempt is the time from sending to a backend server until its answer starts.
-	Attempt *Histogram
+	// Duration is the time from a request's arrival to the end of its answer.
+	Duration *Histogram
+	// Overhead is the time to the start of the answer, less queueing and attempts: what the instance itself costs.
+	Overhead *Histogram
+	// QueueWait is the time spent waiting for a place, of requests that waited.
+	QueueWait *Histogram
+	// AttemptDuration is the time from sending to a backend server until its answer starts.
+	AttemptDuration *Histogram
 
 	outcomes expvar.Map
 	retries  expvar.Int
@@ -150,7 +150,7 @@
 	if found, known := registry.classes[key]; known {
 		return found
 	}
-	made := &Class{Whole: NewHistogram(), Added: NewHistogram(), Queued: NewHistogram(), Attempt: NewHistogram()}
+	made := &Class{Duration: NewHistogram(), Overhead: NewHistogram(), QueueWait: NewHistogram(), AttemptDuration: NewHistogram()}
 	made.outcomes.Init()
 	registry.classes[key] = made
 	return made
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -21,8 +21,8 @@
 	runtime.ReadMemStats(&after)
 	require.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(4<<20))
 	class := registry.Class(ClassKey{Class: "route-7"})
-	require.Zero(t, class.Whole.Quantiles())
-	class.Whole.Record(12)
-	require.EqualValues(t, 1, class.Whole.Quantiles().Count)
-	require.InDelta(t, 12, class.Whole.Quantiles().P50, 0.2)
+	require.Zero(t, class.Duration.Quantiles())
+	class.Duration.Record(12)
+	require.EqualValues(t, 1, class.Duration.Quantiles().Count)
+	require.InDelta(t, 12, class.Duration.Quantiles().P50, 0.2)
 }
--- a/internal/metrics/view.go
+++ b/internal/metrics/view.go
@@ -7,12 +7,12 @@
 
 // ClassView is what an operator reads of one class.
 type ClassView struct {
-	Outcomes map[string]int64 `json:"outcomes"`
-	Retries  int64            `json:"retries"`
-	Whole    Quantiles        `json:"whole"`
-	Added    Quantiles        `json:"added"`
-	Queued   Quantiles        `json:"queued"`
-	Attempt  Quantiles        `json:"attempt"`
+	Outcomes        map[string]int64 `json:"outcomes"`
+	Retries         int64            `json:"retries"`
+	Duration        Quantiles        `json:"whole"`
+	Overhead        Quantiles        `json:"added"`
+	QueueWait       Quantiles        `json:"queued"`
+	AttemptDuration Quantiles        `json:"attempt"`
 }
 
 // View is what an operator reads of an instance: events by name, and classes as "tenant/service/class".
@@ -27,8 +27,8 @@
 	for key, class := range registry.snapshot() {
 		view.Classes[key.String()] = ClassView{
 			Outcomes: counters(&class.outcomes), Retries: class.retries.Value(),
-			Whole: class.Whole.Quantiles(), Added: class.Added.Quantiles(),
-			Queued: class.Queued.Quantiles(), Attempt: class.Attempt.Quantiles(),
+			Duration: class.Duration.Quantiles(), Overhead: class.Overhead.Quantiles(),
+			QueueWait: class.QueueWait.Quantiles(), AttemptDuration: class.AttemptDuration.Quantiles(),
 		}
 	}
 	return view
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,4 +1,4 @@
-// Package supervisor builds the tree of an instance's parts. A part that fails or panics is started again by itself,
+// Package supervisor builds the tree of an instance's parts. A component that fails or panics is started again by itself,
 // and its failure is counted and logged; the other parts go on.
 //
 // # Usage
@@ -21,17 +21,17 @@
 const EventRestart = "supervisor.restarts"
 
 // Restarts come at once until there have been this many within failureDecaySeconds; then they pause for failureBackoff,
-// so that a part which fails at every start does not take all processor time.
+// so that a component which fails at every start does not take all processor time.
 const (
 	failureThreshold    = 5
 	failureDecaySeconds = 10
 	failureBackoff      = time.Second
-	// stopTimeout is how long a part may take to end after its context has.
+	// stopTimeout is how long a component may take to end after its context has.
 	stopTimeout = 5 * time.Second
 )
 
-// Part is one branch of the tree.
-type Part struct {
+// Component is one branch of the tree.
+type Component struct {
 	Name string
 	// Serve runs until its context ends; when it returns earlier it is started again.
 	Serve func(context.Context) error
@@ -64,17 +64,17 @@
 	switch event.Type() {
 	case suture.EventTypeServicePanic, suture.EventTypeServiceTerminate:
 		options.Events.Add(EventRestart, 1)
-		options.Log.Error().Str("event", event.String()).Msg("a part ended and is started again")
+		options.Log.Error().Str("event", event.String()).Msg("a component ended and is started again")
 	case suture.EventTypeStopTimeout:
-		options.Log.Error().Str("event", event.String()).Msg("a part did not stop in time")
+		options.Log.Error().Str("event", event.String()).Msg("a component did not stop in time")
 	case suture.EventTypeBackoff, suture.EventTypeResume:
 		options.Log.Warn().Str("event", event.String()).Msg("restarts")
 	}
 }
 
-// Add adds a part.
-func (tree *Tree) Add(part Part) {
-	tree.root.Add(service{part: part})
+// Add adds a component.
+func (tree *Tree) Add(component Component) {
+	tree.root.Add(service{component: component})
 }
 
 // AddTree adds a branch that has parts of its own.
@@ -87,17 +87,17 @@
 	return tree.root.Serve(ctx)
 }
 
-// service shows a part to the library.
+// service shows a component to the library.
 type service struct {
-	part Part
+	component Component
 }
 
 // Serve implements suture.Service.
 func (service service) Serve(ctx context.Context) error {
-	return service.part.Serve(ctx)
+	return service.component.Serve(ctx)
 }
 
-// String names the part in events.
+// String names the component in events.
 func (service service) String() string {
-	return service.part.Name
+	return service.component.Name
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -18,9 +18,9 @@
 	root := New("root", options)
 	control := New("control", options)
 	starts := make(chan string, 100)
-	failOnce := func(name string, fail func() error) Part {
+	failOnce := func(name string, fail func() error) Component {
 		first := true
-		return Part{Name: name, Serve: func(ctx context.Context) error {
+		return Component{Name: name, Serve: func(ctx context.Context) error {
 			starts <- name
 			if first {
 				first = false
@@ -33,7 +33,7 @@
 	control.Add(failOnce("panics", func() error { panic("on purpose") }))
 	control.Add(failOnce("ends", func() error { return errors.New("on purpose") }))
 	root.AddTree(control)
-	root.Add(Part{Name: "steady", Serve: func(ctx context.Context) error {
+	root.Add(Component{Name: "steady", Serve: func(ctx context.Context) error {
 		starts <- "steady"
 		<-ctx.Done()
 		return ctx.Err()
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -19,8 +19,8 @@
 // RequestID identifies one request. Callers may give it; instances make one otherwise.
 type RequestID string
 
-// AttemptsMost is the number of attempts that a story holds; settings allow no more.
-const AttemptsMost = 10
+// MaxAttempts is the number of attempts that a story holds; settings allow no more.
+const MaxAttempts = 10
 
 // AttemptResult says what came of one attempt.
 type AttemptResult string
@@ -30,7 +30,7 @@
 	ResultAnswered   AttemptResult = "answered"
 	ResultNotWritten AttemptResult = "notWritten"
 	ResultNotRun     AttemptResult = "serverSaidNotRun"
-	ResultCut        AttemptResult = "cutBeforeAnswer"
+	ResultNoResponse AttemptResult = "cutBeforeAnswer"
 )
 
 // Attempt is one choice of a backend server and what came of it.
@@ -40,19 +40,19 @@
 	// Considered is the number of targets with a free place among which it was chosen. 0 means that none was free and
 	// the request waited until this one became free.
 	Considered int `json:"considered"`
-	// Taken is the number of places then in use on the target, this one included.
-	Taken int `json:"taken"`
+	// InFlight is the number of places then in use on the target, this one included.
+	InFlight int `json:"taken"`
 	// Slowdown is how many times longer than usual work took there by the reading that decided, and ReadingAge that
 	// reading's age. Both are 0 where targets don't tell.
-	Slowdown   float64            `json:"slowdown,omitempty"`
-	ReadingAge clock.Milliseconds `json:"readingAge,omitempty"`
-	// Waited is the time spent waiting for the place.
-	Waited clock.Milliseconds `json:"waited"`
+	Slowdown       float64            `json:"slowdown,omitempty"`
+	LoadReadingAge clock.Milliseconds `json:"readingAge,omitempty"`
+	// QueueWait is the time spent waiting for the place.
+	QueueWait clock.Milliseconds `json:"waited"`
 	// Reused tells whether the connection had carried a request before.
-	Reused bool               `json:"reused"`
-	Took   clock.Milliseconds `json:"took"`
-	Status int                `json:"status,omitempty"`
-	Result AttemptResult      `json:"result"`
+	Reused   bool               `json:"reused"`
+	Duration clock.Milliseconds `json:"took"`
+	Status   int                `json:"status,omitempty"`
+	Result   AttemptResult      `json:"result"`
 	// Error is the failure, empty when there was none.
 	Error string `json:"error,omitempty"`
 }
@@ -71,7 +71,7 @@
 	Outcome  outcome.Outcome      `json:"outcome"`
 	Reason   outcome.Reason       `json:"reason"`
 	Status   int                  `json:"status"`
-	Whole    clock.Milliseconds   `json:"whole"`
+	Duration clock.Milliseconds   `json:"whole"`
 	Error    string               `json:"error,omitempty"`
 }
 
