--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,12 @@
-// Package gateway puts the parts of one instance together that finds its fleet by itself and reads a platform's store,
-// and runs them as a tree. What is the platform's own is handed in as functions.
+// Package gateway assembles an instance that discovers its fleet through peers and reads its configuration from a
+// platform's store, and runs its components in a supervisor tree. Platform-specific behaviour is passed in as functions.
 //
 // # Usage
 //
 //	instance, err := gateway.New(gateway.Options{Settings: file, Log: log, Platform: gateway.Platform{...}})
 //	go instance.Serve(ctx)
 //	...
-//	instance.Leave(ctx) // returns when no request is under way any more
+//	instance.Leave(ctx) // returns when no request is in flight
 package gateway
 
 import (
@@ -35,87 +35,93 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// storiesKept is how many requests explain can tell of: some seconds of a busy instance's.
-const storiesKept = 1024
+// traceCapacity is the number of recent request traces kept for the explain path: a few seconds of traffic on a busy
+// instance.
+const traceCapacity = 1024
 
-// thousandths turns a share of a core into whole numbers that compare.
-const thousandths = 1000
+// millicoresPerCore converts the configured number of cores, which may be a fraction, to the integer size that members compare.
+const millicoresPerCore = 1000
 
-// Limits towards callers. The platform's own limits are within them.
+// Limits on callers' connections. They are wider than the platform's own limits.
 const (
-	headerMost    = 32 << 10
-	headerTimeout = 5 * clock.Second
-	idleMost      = 2 * clock.Minute
-	stallMost     = 5 * clock.Second
-	// callersShare is the part of the file descriptors that callers may use; the rest is for backend servers.
-	callersShare = 0.6
+	maxHeaderBytes = 32 << 10
+	headerTimeout  = 5 * clock.Second
+	idleTimeout    = 2 * clock.Minute
+	maxStall       = 5 * clock.Second
+	// callerConnectionShare is the share of the file descriptors available to callers' connections; the rest is for connections
+	// to backend servers.
+	callerConnectionShare = 0.6
 )
 
-// Platform is what is the platform's own: how its store is read, how HTTP is spoken with callers and backend servers,
-// and how callers ask for addresses.
+// Platform is the platform-specific behaviour of an instance: reading the store, the HTTP headers and paths used with
+// callers and backend servers, and the directory of instance addresses.
 type Platform struct {
+	// Source reads the platform's store.
 	Source catalog.Source
-	// SetStoreAddress changes where the store is.
+	// SetStoreAddress changes the address of the store.
 	SetStoreAddress func(address string)
-	Dialect         *caller.Dialect
-	ReadProbe       func(*http.Response) sensing.Health
-	// Directory and Readiness return the handlers for callers that ask for addresses and for whoever asks whether this
-	// instance serves.
+	// Dialect defines headers and reserved paths of requests.
+	Dialect *caller.Dialect
+	// ReadProbe reads a backend server's health from its response to a probe.
+	ReadProbe func(*http.Response) sensing.Health
+	// Directory and Readiness return the handlers for callers that request the addresses of instances and for readiness
+	// checks of this instance.
 	Directory func(addresses func() ([]string, clock.Milliseconds)) http.Handler
 	Readiness func(ready func() bool) http.Handler
 }
 
-// Options are what a Gateway is made from.
+// Options configures a Gateway.
 type Options struct {
 	Settings *settings.Gateway
 	Platform Platform
 	Log      zerolog.Logger
-	// Seed makes the instance's random choices repeatable; 0 takes a random one.
+	// Seed makes the instance's random choices repeatable; 0 selects a random seed.
 	Seed uint64
 }
 
-// Gateway is one instance.
+// Gateway is one instance of the load balancer.
 type Gateway struct {
-	options    Options
-	clock      *clock.Clock
-	registry   *metrics.Registry
-	servers    *backendserver.Servers
-	controller *fleet.Controller
-	reader     *catalog.Reader
-	prober     *sensing.Prober
-	datagrams  *instance.Datagrams
-	traces     *trace.Ring
-	quota      *quota.Ledger
-	updates    updateCache
-	callers    *httppart.Server
-	handler    *caller.Handler
-	parts      []namedPart
-	tree       *supervisor.Tree
-	// bounds and storeAddress are those of the newest settings.
+	options      Options
+	clock        *clock.Clock
+	registry     *metrics.Registry
+	servers      *backendserver.Servers
+	controller   *fleet.Controller
+	reader       *catalog.Reader
+	prober       *sensing.Prober
+	datagrams    *instance.Datagrams
+	traces       *trace.Ring
+	quota        *quota.Ledger
+	updates      updateCache
+	callerServer *httppart.Server
+	handler      *caller.Handler
+	httpServers  []namedServer
+	tree         *supervisor.Tree
+	// bounds and storeAddress come from the settings that were loaded last.
 	bounds       atomic.Pointer[settings.GatewayBounds]
 	storeAddress atomic.Pointer[string]
 }
 
-// namedPart is a server and its name in the tree.
-type namedPart struct {
+// namedServer is an HTTP server with its name in the supervisor tree.
+type namedServer struct {
 	*httppart.Server
 
 	name string
 }
 
-// New binds every address and makes every part; nothing runs until Serve.
+// New binds all addresses and creates all components; nothing runs until Serve. It returns an error if an address cannot
+// be bound.
 func New(options Options) (*Gateway, error) {
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
 	}
-	gateway := &Gateway{options: options, clock: clock.New(), registry: metrics.NewRegistry(), traces: trace.NewRing(storiesKept)}
+	gateway := &Gateway{options: options, clock: clock.New(), registry: metrics.NewRegistry(), traces: trace.NewRing(traceCapacity)}
 	gateway.bounds.Store(&options.Settings.Bounds)
 	gateway.storeAddress.Store(&options.Settings.StoreAddress)
 	gateway.servers = backendserver.NewServers(gateway.clock)
 	gateway.quota = quota.NewLedger(quota.Options{Clock: gateway.clock, Rand: rand.New(rand.NewPCG(options.Seed, 1))})
 	gateway.makeControl()
-	if err := gateway.makeParts(); err != nil {
-		gateway.closeParts()
+	if err := gateway.makeHTTPServers(); err != nil {
+		gateway.closeHTTPServers()
 		return nil, err
 	}
 	gateway.makeTree()
@@ -123,22 +129,23 @@
 }
 
 func (gateway *Gateway) makeControl() {
-	file := gateway.options.Settings
+	gatewaySettings := gateway.options.Settings
 	events := &gateway.registry.Events
 	gateway.prober = sensing.NewProber(sensing.Options{
 		Send: gateway.servers.Send, Read: gateway.options.Platform.ReadProbe, Clock: gateway.clock, Events: events,
 		Deliver: func(result sensing.Result) { gateway.controller.Probed(result) },
 	})
 	gateway.datagrams = instance.NewDatagrams(instance.DatagramOptions{
-		Address: file.PeerAddress, Events: events, Deliver: func(datagram []byte) { gateway.controller.Receive(datagram) },
+		Address: gatewaySettings.PeerAddress, Events: events, Deliver: func(datagram []byte) { gateway.controller.Receive(datagram) },
 	})
 	gateway.controller = fleet.NewController(fleet.Options{
 		Self: membership.Identity{
-			Name: file.Instance, DataCentre: file.DataCentre, Peer: file.PeerAddress, Caller: file.CallerAddress,
-			Size: int(file.Cores * thousandths),
+			Name: gatewaySettings.Instance, DataCentre: gatewaySettings.DataCentre, Peer: gatewaySettings.PeerAddress, Caller: gatewaySettings.CallerAddress,
+			Size: int(gatewaySettings.Cores * millicoresPerCore),
 		},
 		Incarnation: membership.Incarnation(rand.Uint64()),
-		Seeds:       file.SeedAddresses(), Bounds: file.Bounds, FleetStarts: file.FleetStarts, Clock: gateway.clock, Awake: clock.NewAwake(),
+		Seeds:       gatewaySettings.SeedAddresses(), Bounds: gatewaySettings.Bounds, FleetStarts: gatewaySettings.FleetStarts,
+		Clock: gateway.clock, Awake: clock.NewAwake(),
 		Rand:    rand.New(rand.NewPCG(gateway.options.Seed, 0)),
 		Servers: gateway.servers, Registry: gateway.registry, Log: gateway.options.Log, Quota: gateway.quota,
 		Send: gateway.datagrams.Send, SetJobs: gateway.prober.Set,
@@ -157,18 +164,18 @@
 	})
 }
 
-// makeParts binds the addresses.
-func (gateway *Gateway) makeParts() error {
-	file := gateway.options.Settings
+// makeHTTPServers creates the HTTP servers and binds their addresses.
+func (gateway *Gateway) makeHTTPServers() error {
+	gatewaySettings := gateway.options.Settings
 	limits := settings.Callers{
-		ConnectionsMost: int(callersShare * float64(file.DescriptorsMost)), HeaderMost: headerMost, HeaderTimeout: headerTimeout,
-		IdleMost: idleMost, StallMost: stallMost,
+		ConnectionsMost: int(callerConnectionShare * float64(gatewaySettings.DescriptorsMost)), HeaderMost: maxHeaderBytes, HeaderTimeout: headerTimeout,
+		IdleMost: idleTimeout, StallMost: maxStall,
 	}
 	gateway.handler = caller.NewHandler(caller.Options{
 		Table: gateway.controller.Table, AwaitTable: gateway.controller.AwaitTable, Servers: gateway.servers, Registry: gateway.registry, Traces: gateway.traces,
 		Quota: gateway.quota, KeyFreshness: gateway.controller.Keys,
-		Clock: gateway.clock, Instance: file.Instance, MaxStall: stallMost, Dialect: gateway.options.Platform.Dialect,
-		OnRequestDone: newDecisionLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
+		Clock: gateway.clock, Instance: gatewaySettings.Instance, MaxStall: maxStall, Dialect: gateway.options.Platform.Dialect,
+		OnRequestDone: newRequestLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
 	})
 	events := &gateway.registry.Events
 	wanted := []struct {
@@ -177,30 +184,30 @@
 		server  *http.Server
 		listen  func(string) (httppart.Listener, error)
 	}{
-		{"callers", file.CallerAddress, caller.NewServer(gateway.handler, limits, events), caller.NewListenFunc(limits, events)},
-		{"directory", file.DirectoryAddress, small(gateway.options.Platform.Directory(gateway.controller.Addresses)), httppart.Listen},
-		{"readiness", file.ReadyAddress, small(gateway.options.Platform.Readiness(gateway.controller.Ready)), httppart.Listen},
-		{"peers", file.PeerAddress, small(http.HandlerFunc(gateway.serveCatalog)), httppart.Listen},
-		{"operators", file.OperatorAddress, small(gateway.operatorHandler()), httppart.Listen},
+		{"callers", gatewaySettings.CallerAddress, caller.NewServer(gateway.handler, limits, events), caller.NewListenFunc(limits, events)},
+		{"directory", gatewaySettings.DirectoryAddress, newShortRequestServer(gateway.options.Platform.Directory(gateway.controller.Addresses)), httppart.Listen},
+		{"readiness", gatewaySettings.ReadyAddress, newShortRequestServer(gateway.options.Platform.Readiness(gateway.controller.Ready)), httppart.Listen},
+		{"peers", gatewaySettings.PeerAddress, newShortRequestServer(http.HandlerFunc(gateway.serveCatalog)), httppart.Listen},
+		{"operators", gatewaySettings.OperatorAddress, newShortRequestServer(gateway.operatorHandler()), httppart.Listen},
 	}
 	for _, entry := range wanted {
-		part, err := httppart.New(entry.server, entry.address, entry.listen)
+		server, err := httppart.New(entry.server, entry.address, entry.listen)
 		if err != nil {
 			return errors.Wrapf(err, "listen for %s", entry.name)
 		}
-		gateway.parts = append(gateway.parts, namedPart{name: entry.name, Server: part})
+		gateway.httpServers = append(gateway.httpServers, namedServer{name: entry.name, Server: server})
 	}
-	gateway.callers = gateway.parts[0].Server
+	gateway.callerServer = gateway.httpServers[0].Server
 	return nil
 }
 
-// smallHeaderMost bounds the head of a request that bears nothing but a path, in bytes.
-const smallHeaderMost = 8 << 10
+// maxShortHeaderBytes limits the header of a request that needs only a path.
+const maxShortHeaderBytes = 8 << 10
 
-// small returns a server for short requests.
-func small(handler http.Handler) *http.Server {
+// newShortRequestServer returns a server for requests with short headers that are read within headerTimeout.
+func newShortRequestServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleMost.Duration(), MaxHeaderBytes: smallHeaderMost,
+		Handler: handler, ReadHeaderTimeout: headerTimeout.Duration(), IdleTimeout: idleTimeout.Duration(), MaxHeaderBytes: maxShortHeaderBytes,
 		ReadTimeout: headerTimeout.Duration(),
 	}
 }
@@ -223,23 +230,23 @@
 	control.Add(supervisor.Component{Name: "catalog", Serve: gateway.reader.Serve})
 	control.Add(supervisor.Component{Name: "probes", Serve: gateway.prober.Serve})
 	traffic := supervisor.New("traffic", options)
-	for _, part := range gateway.parts {
-		traffic.Add(supervisor.Component{Name: part.name, Serve: part.Serve})
+	for _, server := range gateway.httpServers {
+		traffic.Add(supervisor.Component{Name: server.name, Serve: server.Serve})
 	}
 	gateway.tree = supervisor.New("gateway", options)
 	gateway.tree.AddTree(control)
 	gateway.tree.AddTree(traffic)
 }
 
-func (gateway *Gateway) closeParts() {
-	for _, part := range gateway.parts {
-		if err := part.Close(); err != nil {
-			gateway.options.Log.Warn().Str("part", part.name).Str("problem", err.Error()).Msg("address not given up")
+func (gateway *Gateway) closeHTTPServers() {
+	for _, server := range gateway.httpServers {
+		if err := server.Close(); err != nil {
+			gateway.options.Log.Warn().Str("part", server.name).Str("problem", err.Error()).Msg("could not close the listening address")
 		}
 	}
 }
 
-// Serve runs the instance until the context ends.
+// Serve runs the instance until the context ends, which is not an error.
 func (gateway *Gateway) Serve(ctx context.Context) error {
 	defer gateway.servers.Close()
 	err := gateway.tree.Serve(ctx)
@@ -254,21 +261,22 @@
 	return gateway.controller.Status(ctx)
 }
 
-// InFlight returns the number of callers' requests under way.
+// InFlight returns the number of callers' requests in flight.
 func (gateway *Gateway) InFlight() int64 {
 	return gateway.handler.InFlight()
 }
 
-// Reload takes settings that have changed while the instance runs.
-func (gateway *Gateway) Reload(ctx context.Context, file *settings.Gateway) error {
-	if !gateway.options.Settings.SameIdentity(file) {
-		gateway.options.Log.Warn().Msg("settings: who the instance is and where it listens changes only with a restart")
+// Reload applies changed settings to the running instance. The instance's identity and listening addresses change only
+// with a restart.
+func (gateway *Gateway) Reload(ctx context.Context, gatewaySettings *settings.Gateway) error {
+	if !gateway.options.Settings.SameIdentity(gatewaySettings) {
+		gateway.options.Log.Warn().Msg("settings: changed identity or listening addresses take effect only after a restart")
 	}
-	gateway.options.Platform.SetStoreAddress(file.StoreAddress)
-	if before := gateway.storeAddress.Swap(&file.StoreAddress); *before != file.StoreAddress {
-		// What has changed since a revision of one store can't be asked of another.
+	gateway.options.Platform.SetStoreAddress(gatewaySettings.StoreAddress)
+	if before := gateway.storeAddress.Swap(&gatewaySettings.StoreAddress); *before != gatewaySettings.StoreAddress {
+		// The new store cannot list the changes since a revision of the old one.
 		gateway.reader.Refresh()
 	}
-	gateway.bounds.Store(&file.Bounds)
-	return gateway.controller.SetSettings(ctx, file.SeedAddresses(), file.Bounds)
+	gateway.bounds.Store(&gatewaySettings.Bounds)
+	return gateway.controller.SetSettings(ctx, gatewaySettings.SeedAddresses(), gatewaySettings.Bounds)
 }
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -10,51 +10,52 @@
 	"github.com/jaywheel/jaywheel/internal/caller"
 )
 
-// Parts of the time for leaving.
+// Points of the drain, as shares of its time limit.
 const (
-	// listenOn is how much of it the instance still takes connections, for callers with an address answer from before.
-	listenOn = 0.45
-	// takeIn is how much of it may have passed when a request is taken that may last longer than what is left.
-	takeIn = 0.38
-	// answerIn is how much of it may have passed when the last request is answered, finishIn when the last connection is closed. What
-	// is left after the answers makes up for a signal that a busy process notices late.
-	answerIn = 0.86
-	finishIn = 0.95
+	// New connections are accepted until keepListeningShare, for callers that still use cached addresses.
+	keepListeningShare = 0.45
+	// Requests whose deadline falls after the drain are accepted until acceptLongRequestsShare.
+	acceptLongRequestsShare = 0.38
+	// Every request is responded to by respondShare, and every connection is closed by closeConnectionsShare. The time after
+	// respondShare makes up for a busy process that handles the signal late.
+	respondShare          = 0.86
+	closeConnectionsShare = 0.95
 )
 
-// Leave takes the instance out of service: first out of address answers, then, when the answers that callers keep have lapsed, closed to
-// new connections, and at last it waits until the requests under way have ended. What can't end within the time for leaving is answered
-// shortly before it is over. The error is the context's when that took too long.
+// Leave drains the instance. It first removes the instance from the addresses given to callers, stops listening after the
+// addresses that callers cache have expired, and then waits for the requests in flight. Requests that cannot complete within
+// the time limit for the drain get an error response shortly before it ends. Leave returns the context's error if the drain
+// takes too long.
 func (gateway *Gateway) Leave(ctx context.Context) error {
-	most := gateway.bounds.Load().LeaveMost
-	ctx, cancel := context.WithTimeout(ctx, (finishIn * most).Duration())
+	maxDrain := gateway.bounds.Load().LeaveMost
+	ctx, cancel := context.WithTimeout(ctx, (closeConnectionsShare * maxDrain).Duration())
 	defer cancel()
-	listen := time.NewTimer((listenOn * most).Duration())
-	defer listen.Stop()
-	started, unfinished := gateway.clock.Now(), gateway.unfinished()
+	listenTimer := time.NewTimer((keepListeningShare * maxDrain).Duration())
+	defer listenTimer.Stop()
+	started, unhandledRequests := gateway.clock.Now(), gateway.unhandledRequests()
 	defer func() {
 		gateway.options.Log.Info().Stringer("took", gateway.clock.Now().Since(started)).Int64("requestsCut", gateway.handler.InFlight()).
-			Int64("requestsUnhandled", gateway.unfinished()-unfinished).Msg("left")
+			Int64("requestsUnhandled", gateway.unhandledRequests()-unhandledRequests).Msg("left")
 	}()
-	gateway.handler.Drain(takeIn*most, answerIn*most)
+	gateway.handler.Drain(acceptLongRequestsShare*maxDrain, respondShare*maxDrain)
 	if err := gateway.controller.Leave(ctx); err != nil {
 		return errors.Wrap(err, "leave")
 	}
 	select {
-	case <-listen.C:
+	case <-listenTimer.C:
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "wait for address answers to lapse")
+		return errors.Wrap(ctx.Err(), "wait for cached addresses to expire")
 	}
-	err := gateway.callers.Shutdown(ctx)
+	err := gateway.callerServer.Shutdown(ctx)
 	if gateway.handler.InFlight() == 0 {
-		// Connections that are still open have nothing more to bring.
+		// The connections that are still open are idle.
 		return nil
 	}
-	return errors.Wrap(err, "wait for requests under way")
+	return errors.Wrap(err, "wait for requests in flight")
 }
 
-// unfinished is the number of connections so far that ended within a request that was never handled.
-func (gateway *Gateway) unfinished() int64 {
+// unhandledRequests returns the number of connections so far that were closed within a request that no handler received.
+func (gateway *Gateway) unhandledRequests() int64 {
 	count, counted := gateway.registry.Events.Get(caller.EventUnfinished).(*expvar.Int)
 	if !counted {
 		return 0
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -8,22 +8,22 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Guards against requests that are taken too late to be answered before the process is killed.
-func TestWhatIsTakenLastHasTimeToEnd(t *testing.T) {
+// Guards against requests that are accepted too late in a drain to be responded to before the process is killed.
+func TestRequestsAcceptedLastHaveTimeToEnd(t *testing.T) {
 	const (
-		leaveMost = 6 * clock.Second
-		// The platform excuses what was sent within half of the time and is still at work in the last sixth of it.
-		excused = leaveMost / 2
-		atWork  = leaveMost * 5 / 6
-		// Callers keep an address answer for 1.5 s, and have to ask again.
-		kept = 1500 * clock.Millisecond
-		// A process that is short of processor time notices the signal late.
-		noticed = 700 * clock.Millisecond
+		maxDrain = 6 * clock.Second
+		// The platform excuses requests that were sent within the first half of the drain and are still running in the last sixth.
+		excused      = maxDrain / 2
+		stillRunning = maxDrain * 5 / 6
+		// Callers cache addresses for 1.5 s, and then have to request them again.
+		addressTTL = 1500 * clock.Millisecond
+		// A process that is short of CPU time handles the signal late.
+		signalDelay = 700 * clock.Millisecond
 	)
-	require.Less(t, listenOn*leaveMost, excused)
-	require.Greater(t, listenOn*leaveMost, kept+clock.Second)
-	require.GreaterOrEqual(t, (finishIn-listenOn)*leaveMost, 2900*clock.Millisecond)
-	require.Less(t, takeIn*leaveMost+noticed, excused)
-	require.Greater(t, answerIn*leaveMost, atWork)
-	require.Less(t, answerIn*leaveMost+noticed, leaveMost)
+	require.Less(t, keepListeningShare*maxDrain, excused)
+	require.Greater(t, keepListeningShare*maxDrain, addressTTL+clock.Second)
+	require.GreaterOrEqual(t, (closeConnectionsShare-keepListeningShare)*maxDrain, 2900*clock.Millisecond)
+	require.Less(t, acceptLongRequestsShare*maxDrain+signalDelay, excused)
+	require.Greater(t, respondShare*maxDrain, stillRunning)
+	require.Less(t, respondShare*maxDrain+signalDelay, maxDrain)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -13,18 +13,18 @@
 	"github.com/jaywheel/jaywheel/internal/catalog"
 )
 
-// catalogPath is where an instance tells its catalog to others, and afterField the query field with the revision after which
-// changes are asked for.
+// Peers read an instance's catalog from catalogPath. The query parameter afterParameter is the revision since which they
+// request changes.
 const (
-	catalogPath = "/v1/catalog"
-	afterField  = "after"
+	catalogPath    = "/v1/catalog"
+	afterParameter = "after"
 )
 
-// serveCatalog tells another instance what this one has read.
+// serveCatalog responds to a peer with the changes of this instance's catalog since a revision.
 func (gateway *Gateway) serveCatalog(writer http.ResponseWriter, request *http.Request) {
-	after, err := strconv.ParseUint(request.URL.Query().Get(afterField), 10, 64)
+	after, err := strconv.ParseUint(request.URL.Query().Get(afterParameter), 10, 64)
 	if err != nil {
-		http.Error(writer, afterField+": not a revision", http.StatusBadRequest)
+		http.Error(writer, afterParameter+": expected a revision number", http.StatusBadRequest)
 		return
 	}
 	update, err := gateway.controller.Update(request.Context(), catalog.Revision(after))
@@ -38,11 +38,11 @@
 		return
 	}
 	writer.Header().Set("Content-Type", "application/octet-stream")
-	// A peer that is gone can't be told.
+	// A write fails only if the peer has disconnected.
 	_, _ = writer.Write(encoded)
 }
 
-// updateCache keeps the update that was told last. After a change all that follow ask for the same.
+// updateCache holds the encoded form of the last update sent, since after a change all followers request the same update.
 type updateCache struct {
 	mutex   sync.Mutex
 	update  catalog.Update
@@ -66,14 +66,14 @@
 	return encoded, nil
 }
 
-// peerReader reads the catalog of another instance.
+// peerReader reads the catalogs of other instances.
 type peerReader struct {
 	http *http.Client
 }
 
 func (peerReader *peerReader) read(ctx context.Context, address netip.AddrPort, after catalog.Revision) (catalog.Update, error) {
 	var update catalog.Update
-	from := url.URL{Scheme: "http", Host: address.String(), Path: catalogPath, RawQuery: afterField + "=" + strconv.FormatUint(uint64(after), 10)}
+	from := url.URL{Scheme: "http", Host: address.String(), Path: catalogPath, RawQuery: afterParameter + "=" + strconv.FormatUint(uint64(after), 10)}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, from.String(), http.NoBody)
 	if err != nil {
 		return update, errors.Wrapf(err, "catalog of %s", address)
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -11,86 +11,86 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// Lines a second. A request that took an unusual way is told of more often than a plain one; what is left out is counted,
-// and the latest requests can be asked for one by one.
+// Log lines per second. Requests that failed or were retried have a higher limit than others. Dropped lines are counted, and
+// the traces of recent requests are available one by one on the explain path.
 const (
-	unusualPerSecond = 100
-	plainPerSecond   = 10
+	unusualPerSecond  = 100
+	ordinaryPerSecond = 10
 )
 
-// EventLogLinesDropped counts requests without a line.
+// EventLogLinesDropped counts requests that were not logged because of the limits.
 const EventLogLinesDropped = "log.linesLeftOut"
 
-// decisionLog writes a line for each request that ends, within bounds.
-type decisionLog struct {
+// requestLog logs completed requests at a limited rate.
+type requestLog struct {
 	log    zerolog.Logger
 	clock  *clock.Clock
 	events *expvar.Map
 
-	mutex          sync.Mutex
-	second         clock.Moment
-	unusual, plain int
+	mutex             sync.Mutex
+	second            clock.Moment
+	unusual, ordinary int
 }
 
-func newDecisionLog(log zerolog.Logger, clock *clock.Clock, events *expvar.Map) *decisionLog {
-	return &decisionLog{log: log, clock: clock, events: events, unusual: unusualPerSecond, plain: plainPerSecond}
+func newRequestLog(log zerolog.Logger, clock *clock.Clock, events *expvar.Map) *requestLog {
+	return &requestLog{log: log, clock: clock, events: events, unusual: unusualPerSecond, ordinary: ordinaryPerSecond}
 }
 
-// write writes the request's line if there is one left for this second.
-func (decisionLog *decisionLog) write(story *trace.Request) {
-	unusual := story.Outcome != outcome.Answered || len(story.Attempts) > 1
-	if !decisionLog.spend(unusual) {
-		decisionLog.events.Add(EventLogLinesDropped, 1)
+// write logs the request unless the limit for the current second is reached.
+func (requestLog *requestLog) write(requestTrace *trace.Request) {
+	unusual := requestTrace.Outcome != outcome.Answered || len(requestTrace.Attempts) > 1
+	if !requestLog.allow(unusual) {
+		requestLog.events.Add(EventLogLinesDropped, 1)
 		return
 	}
-	line := decisionLog.log.Info()
+	line := requestLog.log.Info()
 	if !line.Enabled() {
 		return
 	}
-	line.Str("id", string(story.ID)).Str("service", string(story.Service)).Str("class", string(story.Class)).Str("team", story.Tenant).
-		Uint64("version", uint64(story.Revision)).Str("outcome", string(story.Outcome)).Str("reason", string(story.Reason)).
-		Int("status", story.Status).Float64("wholeMs", float64(story.Duration)).Float64("timeoutMs", float64(story.Timeout))
+	line.Str("id", string(requestTrace.ID)).Str("service", string(requestTrace.Service)).Str("class", string(requestTrace.Class)).Str("team", requestTrace.Tenant).
+		Uint64("version", uint64(requestTrace.Revision)).Str("outcome", string(requestTrace.Outcome)).Str("reason", string(requestTrace.Reason)).
+		Int("status", requestTrace.Status).Float64("wholeMs", float64(requestTrace.Duration)).Float64("timeoutMs", float64(requestTrace.Timeout))
 	attempts := zerolog.Arr()
-	for index := range story.Attempts {
-		attempts.Object(attemptLine{&story.Attempts[index]})
+	for index := range requestTrace.Attempts {
+		attempts.Object(attemptFields{&requestTrace.Attempts[index]})
 	}
 	line.Array("attempts", attempts)
-	if story.Error != "" {
-		line.Str("problem", story.Error)
+	if requestTrace.Error != "" {
+		line.Str("problem", requestTrace.Error)
 	}
 	line.Msg("request")
 }
 
-// attemptLine writes one attempt.
-type attemptLine struct {
+// attemptFields logs one attempt of a request.
+type attemptFields struct {
 	*trace.Attempt
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (attemptLine attemptLine) MarshalZerologObject(event *zerolog.Event) {
-	event.Str("target", string(attemptLine.Target)).Str("dataCentre", string(attemptLine.DataCentre)).
-		Str("result", string(attemptLine.Result)).Int("status", attemptLine.Status).
-		Int("considered", attemptLine.Considered).Int("taken", attemptLine.InFlight).Float64("slowdown", attemptLine.Slowdown).
-		Float64("readingAgeMs", float64(attemptLine.LoadReadingAge)).Float64("waitedMs", float64(attemptLine.QueueWait)).
-		Float64("tookMs", float64(attemptLine.Duration))
-	if attemptLine.Error != "" {
-		event.Str("problem", attemptLine.Error)
+func (attemptFields attemptFields) MarshalZerologObject(event *zerolog.Event) {
+	event.Str("target", string(attemptFields.Target)).Str("dataCentre", string(attemptFields.DataCentre)).
+		Str("result", string(attemptFields.Result)).Int("status", attemptFields.Status).
+		Int("considered", attemptFields.Considered).Int("taken", attemptFields.InFlight).Float64("slowdown", attemptFields.Slowdown).
+		Float64("readingAgeMs", float64(attemptFields.LoadReadingAge)).Float64("waitedMs", float64(attemptFields.QueueWait)).
+		Float64("tookMs", float64(attemptFields.Duration))
+	if attemptFields.Error != "" {
+		event.Str("problem", attemptFields.Error)
 	}
 }
 
-// spend takes one line of this second's.
-func (decisionLog *decisionLog) spend(unusual bool) bool {
-	now := decisionLog.clock.Now()
-	decisionLog.mutex.Lock()
-	defer decisionLog.mutex.Unlock()
-	if now.Since(decisionLog.second) >= clock.Second {
-		decisionLog.second = now
-		decisionLog.unusual = unusualPerSecond
-		decisionLog.plain = plainPerSecond
+// allow counts one line against the limit for the current second, and reports whether it is within the limit.
+func (requestLog *requestLog) allow(unusual bool) bool {
+	now := requestLog.clock.Now()
+	requestLog.mutex.Lock()
+	defer requestLog.mutex.Unlock()
+	if now.Since(requestLog.second) >= clock.Second {
+		requestLog.second = now
+		requestLog.unusual = unusualPerSecond
+		requestLog.ordinary = ordinaryPerSecond
 	}
-	left := &decisionLog.plain
+	left := &requestLog.ordinary
 	if unusual {
-		left = &decisionLog.unusual
+		left = &requestLog.unusual
 	}
 	if *left == 0 {
 		return false
