--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -22,8 +22,7 @@
 
 var errUnknownKey = errors.New("no such document")
 
-// apply puts a document in force when its revision is higher than the one in force, and keeps what is in force when the
-// document can't be right.
+// apply puts a document in force if it is valid and its revision is higher than the one in force.
 func (read documentRead) apply(controller *Controller) {
 	var applied bool
 	var err error
@@ -34,21 +33,22 @@
 	} else {
 		err = errors.Wrapf(errUnknownKey, "%s", read.key)
 	}
-	controller.note(read.key, applied, err)
+	controller.recordResult(read.key, applied, err)
 	if applied {
 		controller.publish()
 	}
 }
 
-// note counts what became of a document, and logs a line only when that is news.
-func (controller *Controller) note(key string, applied bool, err error) {
+// recordResult counts whether a document was applied. It logs a rejection only if its reason differs from the last one for
+// the same document.
+func (controller *Controller) recordResult(key string, applied bool, err error) {
 	events := &controller.options.Registry.Events
 	switch {
 	case err != nil:
 		events.Add(EventSettingsRejected, 1)
 		if controller.problems[key] != err.Error() {
 			controller.problems[key] = err.Error()
-			controller.options.Log.Error().Str("key", key).Str("problem", err.Error()).Msg("settings refused, the last good ones stay")
+			controller.options.Log.Error().Str("key", key).Str("problem", err.Error()).Msg("settings rejected, the previous ones stay in force")
 		}
 	case applied:
 		events.Add(EventSettingsApplied, 1)
@@ -68,7 +68,7 @@
 	if controller.site != nil && site.Revision <= controller.site.Revision {
 		return false, nil
 	}
-	if err := controller.checkSiteFits(read.key, site); err != nil {
+	if err := controller.checkSiteConsistency(read.key, site); err != nil {
 		return false, err
 	}
 	controller.site = site
@@ -77,12 +77,12 @@
 			controller.dropService(name, state)
 		}
 	}
-	controller.startEarly()
+	controller.startPendingServices()
 	return true, nil
 }
 
-// checkSiteFits finds what does not fit between a site's document and the services in force that it keeps.
-func (controller *Controller) checkSiteFits(key string, site *settings.Site) error {
+// checkSiteConsistency returns an error if a site's document contradicts the documents in force of the services it names.
+func (controller *Controller) checkSiteConsistency(key string, site *settings.Site) error {
 	var problems []settings.Problem
 	for name, state := range controller.services {
 		if slices.Contains(site.ServiceNames, name) {
@@ -95,20 +95,20 @@
 	return nil
 }
 
-// startEarly starts the services whose documents came before the site's.
-func (controller *Controller) startEarly() {
-	for _, name := range slices.Sorted(maps.Keys(controller.early)) {
+// startPendingServices starts the services whose documents were read before the site's document.
+func (controller *Controller) startPendingServices() {
+	for _, name := range slices.Sorted(maps.Keys(controller.pendingServices)) {
 		if !slices.Contains(controller.site.ServiceNames, name) {
 			continue
 		}
-		early := controller.early[name]
-		delete(controller.early, name)
+		pending := controller.pendingServices[name]
+		delete(controller.pendingServices, name)
 		key := settings.ServiceKey(name)
-		err := controller.checkFits(name, key, early)
+		err := controller.checkServiceConsistency(name, key, pending)
 		if err == nil {
-			controller.startService(name, early)
+			controller.startService(name, pending)
 		}
-		controller.note(key, err == nil, err)
+		controller.recordResult(key, err == nil, err)
 	}
 }
 
@@ -118,9 +118,9 @@
 		return false, err
 	}
 	if controller.site == nil || !slices.Contains(controller.site.ServiceNames, name) {
-		// The site's document may be on its way.
-		if held, known := controller.early[name]; !known || held.Revision < parsed.Revision {
-			controller.early[name] = parsed
+		// The site's document may be read later.
+		if pending, known := controller.pendingServices[name]; !known || pending.Revision < parsed.Revision {
+			controller.pendingServices[name] = parsed
 		}
 		return false, nil
 	}
@@ -128,7 +128,7 @@
 	if known && parsed.Revision <= state.settings.Revision {
 		return false, nil
 	}
-	if err := controller.checkFits(name, read.key, parsed); err != nil {
+	if err := controller.checkServiceConsistency(name, read.key, parsed); err != nil {
 		return false, err
 	}
 	if !known {
@@ -136,13 +136,13 @@
 		return true, nil
 	}
 	state.settings = parsed
-	state.dispatcher.SetLimits(limitsOf(parsed))
+	state.dispatcher.SetLimits(dispatcherLimits(parsed))
 	state.budget.SetShare(parsed.Retry.BudgetShare)
 	return true, nil
 }
 
-// checkFits finds what does not fit between a service's document and the others in force.
-func (controller *Controller) checkFits(name settings.ServiceName, key string, parsed *settings.Service) error {
+// checkServiceConsistency returns an error if a service's document contradicts the other documents in force.
+func (controller *Controller) checkServiceConsistency(name settings.ServiceName, key string, parsed *settings.Service) error {
 	problems := parsed.CheckAgainst(controller.site, key, "")
 	others := map[settings.ServiceName]settings.Service{name: *parsed}
 	for otherName, other := range controller.services {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func limitsOf(serviceSettings *settings.Service) service.Limits {
+func dispatcherLimits(serviceSettings *settings.Service) service.Limits {
 	return service.Limits{
 		QueueLength:    serviceSettings.Queue.Length,
 		QueueWait:      serviceSettings.Queue.Wait,
@@ -171,7 +171,7 @@
 		name:     name,
 		settings: parsed,
 		dispatcher: service.NewDispatcher(service.Options{
-			Clock: controller.options.Clock, Rand: random, Limits: limitsOf(parsed), Policy: controller.options.Policy,
+			Clock: controller.options.Clock, Rand: random, Limits: dispatcherLimits(parsed), Policy: controller.options.Policy,
 		}),
 		budget:  service.NewRetryBudget(parsed.Retry.BudgetShare),
 		targets: map[settings.TargetName]*targetState{},
@@ -185,17 +185,18 @@
 	delete(controller.services, name)
 }
 
-// mayOwn returns the instances that may answer for a service's targets: those that serve it. Where nobody does any more,
-// an instance on its way out goes on; without an owner, targets that are still cold would take no request, and callers with
-// old answers would be refused while there is room.
-func (controller *Controller) mayOwn(serving []routing.Instance) []routing.Instance {
+// ownerCandidates returns the instances that may own a service's targets: those that serve it. If there are none, this
+// instance is the only candidate, even while it leaves: without an owner, cold targets would get no requests, and requests
+// of callers with cached addresses would be rejected although targets have capacity.
+func (controller *Controller) ownerCandidates(serving []routing.Instance) []routing.Instance {
 	if len(serving) > 0 {
 		return serving
 	}
 	return []routing.Instance{{Name: controller.options.Name, DataCentre: controller.options.DataCentre}}
 }
 
-// publish works out everything that follows from settings, lists and peers, and puts a new table in force.
+// publish derives the targets, serving instances and owners from settings, lists and peers, and puts a new routing table in
+// force.
 func (controller *Controller) publish() {
 	if controller.site == nil {
 		return
@@ -203,9 +204,9 @@
 	controller.eligible = controller.eligibleInstances()
 	services := make([]*routing.Service, 0, len(controller.services))
 	for _, state := range controller.services {
-		controller.matchTargets(state)
+		controller.syncTargets(state)
 		state.serving = routing.ServingInstances(state.name, controller.eligible, controller.site.Fleet.InstancesPerService)
-		state.owners = routing.Owners(slices.Collect(maps.Keys(state.targets)), controller.mayOwn(state.serving))
+		state.owners = routing.Owners(slices.Collect(maps.Keys(state.targets)), controller.ownerCandidates(state.serving))
 		services = append(services, &routing.Service{
 			Name: state.name, Settings: state.settings, Dispatcher: state.dispatcher, Budget: state.budget, Serving: state.serving,
 		})
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -19,37 +19,37 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// tickEvery is how often the control goroutine looks after what depends on time.
-const tickEvery = 25 * clock.Millisecond
+// tickInterval is the interval at which the control goroutine runs its timed work.
+const tickInterval = 25 * clock.Millisecond
 
-// inboxLength is how many events may wait for the control goroutine.
+// inboxLength is the number of events that may be queued for the control goroutine.
 const inboxLength = 1024
 
-// EventInboxFull counts datagrams and reports dropped because the control goroutine could not keep up.
+// EventInboxFull counts datagrams and load reports that were dropped because the control goroutine's queue was full.
 const EventInboxFull = "control.inboxFull"
 
-// Options are what a Controller is made from.
+// Options configures a Controller.
 type Options struct {
-	// Name and DataCentre are this instance's own.
+	// Name and DataCentre identify this instance.
 	Name       settings.InstanceName
 	DataCentre settings.DataCentreName
-	// Incarnation tells this run from earlier ones of the same name.
+	// Incarnation distinguishes this process from earlier ones with the same instance name.
 	Incarnation instance.Incarnation
 	Clock       *clock.Clock
 	Rand        *rand.Rand
 	Servers     *backendserver.Servers
 	Registry    *metrics.Registry
 	Log         zerolog.Logger
-	// Policy is how targets are chosen; it is left empty unless a baseline is measured.
+	// Policy selects targets. It is set only to measure a baseline policy.
 	Policy service.Policy
 	// Send sends a heartbeat to a peer.
 	Send func(netip.AddrPort, instance.Heartbeat)
-	// RequestReport asks for a target's load report without blocking, and reports whether it was taken. The answer comes
-	// through ReportRead.
+	// RequestReport requests a target's load report without blocking, and reports whether the request was accepted. The
+	// result is passed to ReportRead.
 	RequestReport func(ReportRequest) bool
 }
 
-// ReportRequest names a load report to read.
+// ReportRequest identifies a load report to read.
 type ReportRequest struct {
 	Service settings.ServiceName
 	Target  settings.TargetName
@@ -63,43 +63,43 @@
 	table   atomic.Pointer[routing.Table]
 	inbox   chan event
 
-	started  clock.Moment
-	lastTick clock.Moment
-	site     *settings.Site
-	services map[settings.ServiceName]*serviceState
-	early    map[settings.ServiceName]*settings.Service
-	problems map[string]string
-	list     platform.List
-	peers    map[settings.InstanceName]*peerState
-	eligible []routing.Instance
-	// firstHeard is when a peer was first heard, 0 before.
-	firstHeard clock.Moment
-	leaving    bool
-	heartbeat  heartbeatState
+	started         clock.Moment
+	lastTick        clock.Moment
+	site            *settings.Site
+	services        map[settings.ServiceName]*serviceState
+	pendingServices map[settings.ServiceName]*settings.Service
+	problems        map[string]string
+	list            platform.List
+	peers           map[settings.InstanceName]*peerState
+	eligible        []routing.Instance
+	// firstHeartbeat is when the first heartbeat of any peer was received, or 0.
+	firstHeartbeat clock.Moment
+	leaving        bool
+	heartbeat      heartbeatState
 }
 
-// NewController returns a controller that knows nothing yet.
+// NewController returns a controller without settings, instances or peers.
 func NewController(options Options) *Controller {
 	return &Controller{
-		options:  options,
-		inbox:    make(chan event, inboxLength),
-		started:  options.Clock.Now(),
-		lastTick: options.Clock.Now(),
-		services: map[settings.ServiceName]*serviceState{},
-		early:    map[settings.ServiceName]*settings.Service{},
-		problems: map[string]string{},
-		peers:    map[settings.InstanceName]*peerState{},
+		options:         options,
+		inbox:           make(chan event, inboxLength),
+		started:         options.Clock.Now(),
+		lastTick:        options.Clock.Now(),
+		services:        map[settings.ServiceName]*serviceState{},
+		pendingServices: map[settings.ServiceName]*settings.Service{},
+		problems:        map[string]string{},
+		peers:           map[settings.InstanceName]*peerState{},
 	}
 }
 
-// Table returns the table in force, or nil before there are settings.
+// Table returns the routing table in force, or nil if there are no settings yet.
 func (controller *Controller) Table() *routing.Table {
 	return controller.table.Load()
 }
 
-// Serve runs the control goroutine until the context ends.
+// Serve runs the control goroutine until the context ends, and returns the context's error.
 func (controller *Controller) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery.Duration())
+	ticker := time.NewTicker(tickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,7 +113,7 @@
 	}
 }
 
-// post waits until the event is taken.
+// post queues the event, and blocks while the queue is full.
 func (controller *Controller) post(ctx context.Context, arrived event) error {
 	select {
 	case controller.inbox <- arrived:
@@ -123,8 +123,8 @@
 	}
 }
 
-// offer drops the event when the control goroutine can't keep up: what it speaks of is soon said again.
-func (controller *Controller) offer(arrived event) {
+// tryPost queues the event, or drops it if the queue is full. It is for events that are repeated at short intervals.
+func (controller *Controller) tryPost(arrived event) {
 	select {
 	case controller.inbox <- arrived:
 	default:
@@ -132,48 +132,50 @@
 	}
 }
 
-// DocumentRead takes a document of the configuration service.
+// DocumentRead passes on a document of the configuration service. It blocks while the queue is full, and returns an error if
+// the context ends.
 func (controller *Controller) DocumentRead(ctx context.Context, key string, text []byte) error {
 	return controller.post(ctx, documentRead{key: key, text: text})
 }
 
-// ListRead takes a list of instances.
+// ListRead passes on a list of instances. It blocks while the queue is full, and returns an error if the context ends.
 func (controller *Controller) ListRead(ctx context.Context, list platform.List) error {
 	return controller.post(ctx, listRead{list: list})
 }
 
-// HeartbeatReceived takes a peer's datagram. It never blocks.
+// HeartbeatReceived passes on a peer's heartbeat. It never blocks.
 func (controller *Controller) HeartbeatReceived(heartbeat instance.Heartbeat) {
-	controller.offer(heartbeatReceived{heartbeat: heartbeat})
+	controller.tryPost(heartbeatReceived{heartbeat: heartbeat})
 }
 
-// ReportRead takes a load report, or the failure to read it. It never blocks.
+// ReportRead passes on a load report, or the error from reading it. It never blocks.
 func (controller *Controller) ReportRead(request ReportRequest, report backendserver.Report, err error) {
-	controller.offer(reportRead{service: request.Service, target: request.Target, report: report, err: err})
+	controller.tryPost(reportRead{service: request.Service, target: request.Target, report: report, err: err})
 }
 
-// Leave takes the instance out of address answers, here and at its peers. Requests are served as before.
+// Leave removes the instance from the addresses that this instance and its peers give to callers. Requests are still
+// served. It returns an error if the context ends first.
 func (controller *Controller) Leave(ctx context.Context) error {
-	return controller.post(ctx, leaveAsked{})
+	return controller.post(ctx, leaveRequested{})
 }
 
-func (leaveAsked) apply(controller *Controller) {
+func (leaveRequested) apply(controller *Controller) {
 	controller.leaving = true
-	controller.options.Log.Info().Msg("leaving: out of address answers, requests under way go on")
+	controller.options.Log.Info().Msg("leaving: removed from callers' addresses, requests in flight continue")
 	controller.publish()
 	controller.sendHeartbeats(controller.options.Clock.Now(), true)
 }
 
-// tick looks after everything that depends on time.
+// tick runs the timed work: failure detection, heartbeats, warm-up and load reports of targets, idle connections.
 func (controller *Controller) tick() {
 	now := controller.options.Clock.Now()
 	if controller.site == nil {
 		return
 	}
-	controller.reviewPeers(now)
+	controller.updateSuspicions(now)
 	controller.sendHeartbeats(now, false)
 	for _, state := range controller.services {
-		controller.tendTargets(now, state)
+		controller.updateTargets(now, state)
 		state.dispatcher.Sweep()
 	}
 	if now.Since(controller.lastTick) > clock.Second {
--- a/internal/control/controller_bench_test.go
+++ b/internal/control/controller_bench_test.go
@@ -17,12 +17,12 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// sizes are the sizes at which control is measured; the last is the size to design for.
+// sizes are the fleet sizes of the benchmarks; the last is the size that the design aims at.
 var sizes = []struct{ services, targetsPerService, peers int }{
 	{3, 12, 14}, {14, 22, 14}, {42, 22, 14}, {42, 22, 59},
 }
 
-// newSized returns a controller of the given size that knows its targets to be warm.
+// newSized returns a controller for a fleet of the given size with only warm targets.
 func newSized(b *testing.B, services, targetsPerService, peers int, send func(netip.AddrPort, instance.Heartbeat)) (*Controller, *clock.Manual) {
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "")
 	if err != nil {
@@ -72,8 +72,8 @@
 	return controller, manual
 }
 
-// BenchmarkControlSecond measures what the control goroutine does in one second when nothing changes: 40 ticks, 4
-// rounds of heartbeats, and one heartbeat from each peer 4 times.
+// BenchmarkControlSecond measures the work of the control goroutine in one second without changes: 40 ticks, 4 rounds of
+// sent heartbeats, and 4 heartbeats received from each peer.
 func BenchmarkControlSecond(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("targets=%d/peers=%d", size.services*size.targetsPerService, size.peers), func(b *testing.B) {
@@ -87,7 +87,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for step := range 40 {
-					manual.Advance(tickEvery)
+					manual.Advance(tickInterval)
 					controller.tick()
 					if step%10 != 0 {
 						continue
@@ -106,7 +106,7 @@
 	}
 }
 
-// BenchmarkPublish measures putting a changed document in force.
+// BenchmarkPublish measures the publishing of a new routing table.
 func BenchmarkPublish(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("targets=%d/peers=%d", size.services*size.targetsPerService, size.peers), func(b *testing.B) {
@@ -118,7 +118,7 @@
 	}
 }
 
-// BenchmarkControlMemory reports what a controller of each size holds, with its dispatchers and pools.
+// BenchmarkControlMemory reports the heap memory of a controller with its dispatchers and connection pools.
 func BenchmarkControlMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("targets=%d/peers=%d", size.services*size.targetsPerService, size.peers), func(b *testing.B) {
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -20,15 +20,15 @@
 
 const targetCount = 6
 
-// fleet is a few controllers on one manual clock, whose heartbeats reach each other at once or not at all.
+// fleet is a set of controllers on one manual clock. Heartbeats between them arrive immediately or are lost.
 type fleet struct {
 	t       *testing.T
 	manual  *clock.Manual
 	site    *settings.Site
 	list    platform.List
 	members map[settings.InstanceName]*Controller
-	// cut says whether a datagram between two members is lost.
-	cut func(from, to settings.InstanceName) bool
+	// isLost reports whether a datagram between two members is lost.
+	isLost func(from, to settings.InstanceName) bool
 }
 
 func newFleet(t *testing.T, count int) *fleet {
@@ -41,7 +41,7 @@
 		}
 	}
 	fleet := &fleet{t: t, manual: clock.NewManual(), site: site, members: map[settings.InstanceName]*Controller{}}
-	fleet.cut = func(settings.InstanceName, settings.InstanceName) bool { return false }
+	fleet.isLost = func(settings.InstanceName, settings.InstanceName) bool { return false }
 	for number := range targetCount {
 		fleet.list.Instances = append(fleet.list.Instances, platform.Instance{
 			Name: fmt.Sprintf("browsing-%d", number+1), Kind: platform.KindBackendServer, State: platform.StateLive, Service: "browsing",
@@ -62,7 +62,7 @@
 	return settings.InstanceName(fmt.Sprintf("entry-%d", number))
 }
 
-// join starts a member, gives it the settings, and puts it on everyone's list.
+// join starts a member with the settings, and adds it to the list of instances of all members.
 func (fleet *fleet) join(number int) *Controller {
 	name := memberName(number)
 	controller := NewController(Options{
@@ -84,7 +84,7 @@
 
 func (fleet *fleet) deliver(from settings.InstanceName, to netip.AddrPort, heartbeat instance.Heartbeat) {
 	name := memberName(int(to.Addr().As4()[3]))
-	if receiver := fleet.members[name]; receiver != nil && !fleet.cut(from, name) {
+	if receiver := fleet.members[name]; receiver != nil && !fleet.isLost(from, name) {
 		heartbeatReceived{heartbeat: heartbeat}.apply(receiver)
 	}
 }
@@ -113,17 +113,17 @@
 	return all
 }
 
-// run lets time pass.
+// run advances the clock and ticks all controllers.
 func (fleet *fleet) run(length clock.Milliseconds) {
-	for passed := clock.Milliseconds(0); passed < length; passed += tickEvery {
-		fleet.manual.Advance(tickEvery)
+	for passed := clock.Milliseconds(0); passed < length; passed += tickInterval {
+		fleet.manual.Advance(tickInterval)
 		for _, controller := range fleet.all() {
 			controller.tick()
 		}
 	}
 }
 
-// limits sums, over all members, the requests that may be in flight on one target.
+// limits returns the sum of all members' limits of concurrent requests on one target.
 func (fleet *fleet) limits(target settings.TargetName) int {
 	sum := 0
 	for _, controller := range fleet.members {
@@ -144,7 +144,7 @@
 	return phases
 }
 
-// serving returns the names in the address answer of one member.
+// serving returns the names of the instances whose addresses a member gives to callers.
 func serving(controller *Controller) []settings.InstanceName {
 	browsing, _ := controller.Table().Service("browsing")
 	var names []settings.InstanceName
@@ -154,15 +154,15 @@
 	return names
 }
 
-// All backend servers have just started. Each must bear one request at first, whatever all instances do together, then
-// more, and in the end every serving instance sends to all of them. Too much at first, and the server falls over.
+// Guards against overload of cold backend servers by several instances. All servers have just started. Each may get one
+// request at first from all instances together, then more; in the end every serving instance sends to all of them.
 func TestColdServersWarmUpUnderOneOwner(t *testing.T) {
 	fleet := newFleet(t, 5)
 	coldStart := fleet.site.Services["browsing"].ColdStart
 	warm := fleet.site.Services["browsing"].SlotsPerTarget
 	started := false
-	for passed := clock.Milliseconds(0); passed < coldStart.FullAfter+3*clock.Second; passed += tickEvery {
-		fleet.run(tickEvery)
+	for passed := clock.Milliseconds(0); passed < coldStart.FullAfter+3*clock.Second; passed += tickInterval {
+		fleet.run(tickInterval)
 		for number := range targetCount {
 			target := settings.TargetName(fmt.Sprintf("browsing-%d", number+1))
 			if fleet.phases(target)[phaseWarm] > 0 {
@@ -182,8 +182,8 @@
 	}
 }
 
-// A new instance takes an old one's place in a warm fleet. It learns from its peers that the backend servers are warm;
-// were it to take them for cold, capacity would dip 55 times a day.
+// Guards against a dip in capacity whenever an instance is replaced, which is 55 times a day: the new instance must learn
+// from its peers that the backend servers are warm.
 func TestNewInstanceLearnsWhatIsWarm(t *testing.T) {
 	fleet := newFleet(t, 4)
 	fleet.run(15 * clock.Second)
@@ -195,8 +195,8 @@
 	require.Zero(t, joined.options.Registry.View().Events[EventTargetCold])
 }
 
-// The owner of a server that warms up leaves. Requests that it sent are still in flight there, so the next owner sends
-// nothing for a while; the two together would give the server more than it bears.
+// Guards against overload of a cold backend server when its owner leaves: the owner's requests are still in flight, so the
+// next owner must not send requests for a while.
 func TestNewOwnerWaits(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.run(6 * clock.Second)
@@ -204,20 +204,20 @@
 	require.Positive(t, fleet.limits(target))
 	for _, controller := range fleet.members {
 		if controller.services["browsing"].targets[target].owned {
-			leaveAsked{}.apply(controller)
+			leaveRequested{}.apply(controller)
 			break
 		}
 	}
-	for passed := clock.Milliseconds(0); passed < fleet.site.Fleet.SuspectAfter; passed += tickEvery {
-		fleet.run(tickEvery)
+	for passed := clock.Milliseconds(0); passed < fleet.site.Fleet.SuspectAfter; passed += tickInterval {
+		fleet.run(tickInterval)
 		require.Zero(t, fleet.limits(target))
 	}
 	fleet.run(clock.Second)
 	require.Equal(t, 1, fleet.limits(target))
 }
 
-// A backend server starts anew under its old address, without a word from the platform. Its owner sees that its report
-// tells another start, and from then on all treat it as cold.
+// Guards against overload of a backend server that was restarted under its old address, which the platform does not
+// announce. Its owner notices the changed start time in the load report, and all instances then treat the server as cold.
 func TestUnannouncedRestartIsCold(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.run(15 * clock.Second)
@@ -232,15 +232,15 @@
 	}
 	report(1000)
 	fleet.run(clock.Second)
-	require.Equal(t, 3, fleet.phases(target)[phaseWarm], "a first report is no restart")
+	require.Equal(t, 3, fleet.phases(target)[phaseWarm], "a first report is not a restart")
 	report(2000)
 	fleet.run(clock.Second)
 	require.Equal(t, 3, fleet.phases(target)[phaseCold])
 	require.LessOrEqual(t, fleet.limits(target), 2)
 }
 
-// Operators take a data centre out. At once none of its backend servers gets work and none of its instances is named to
-// callers; when it returns, its servers count as cold.
+// Operators take a data centre out of service. Its backend servers must get no more requests and its instances' addresses
+// must not be given to callers. When the data centre returns, its servers are cold.
 func TestDataCentreOutAndBack(t *testing.T) {
 	fleet := newFleet(t, 6)
 	fleet.run(15 * clock.Second)
@@ -261,14 +261,14 @@
 	}
 	fleet.run(5 * clock.Second)
 	move(3, settings.DataCentreIn)
-	require.Zero(t, fleet.limits("browsing-1"), "nobody sends before it is known to be safe")
+	require.Zero(t, fleet.limits("browsing-1"), "no requests until the owner's delay is over")
 	fleet.run(2 * clock.Second)
 	require.LessOrEqual(t, fleet.limits("browsing-1"), 2)
 	fleet.run(12 * clock.Second)
 	require.Equal(t, 6, fleet.phases("browsing-1")[phaseWarm])
 }
 
-// A backend server is on its way out, or gone from the list. From then on it gets nothing new, from any instance.
+// A backend server is marked as leaving, or removed from the list. No instance may send it new requests.
 func TestLeavingServerGetsNothing(t *testing.T) {
 	fleet := newFleet(t, 3)
 	fleet.run(15 * clock.Second)
@@ -288,8 +288,8 @@
 	}
 }
 
-// Documents come late, twice, out of order or wrong. The highest revision stays in force, and what is wrong is shown
-// and changes nothing.
+// Documents arrive late, duplicated, out of order or invalid. The highest valid revision must stay in force, and invalid
+// documents must be reported as problems.
 func TestSettingsNeverRevert(t *testing.T) {
 	fleet := newFleet(t, 1)
 	controller := fleet.all()[0]
@@ -330,8 +330,8 @@
 	}
 }
 
-// An instance leaves, another falls silent, a third is cut off from all. Callers are sent to the rest within moments;
-// the one that is cut off does not send everybody to itself.
+// One instance leaves, and another is partitioned from all peers. The others must stop giving their addresses to callers
+// within seconds; the partitioned instance must not send all callers to itself.
 func TestPeersThatGo(t *testing.T) {
 	fleet := newFleet(t, 6)
 	fleet.site.Fleet.InstancesPerService = 6
@@ -340,22 +340,22 @@
 	fleet.run(clock.Second)
 	require.Len(t, serving(fleet.members["entry-1"]), 6)
 
-	leaveAsked{}.apply(fleet.members["entry-2"])
-	require.NotContains(t, serving(fleet.members["entry-1"]), memberName(2), "told at once")
+	leaveRequested{}.apply(fleet.members["entry-2"])
+	require.NotContains(t, serving(fleet.members["entry-1"]), memberName(2), "notified immediately")
 
-	fleet.cut = func(from, to settings.InstanceName) bool { return from == "entry-3" || to == "entry-3" }
+	fleet.isLost = func(from, to settings.InstanceName) bool { return from == "entry-3" || to == "entry-3" }
 	fleet.run(2 * clock.Second)
 	require.NotContains(t, serving(fleet.members["entry-1"]), memberName(3))
-	require.Contains(t, serving(fleet.members["entry-3"]), memberName(1), "it suspects all others, and so doubts itself")
+	require.Contains(t, serving(fleet.members["entry-3"]), memberName(1), "an instance that suspects most peers ignores its suspicions")
 
-	fleet.cut = func(settings.InstanceName, settings.InstanceName) bool { return false }
+	fleet.isLost = func(settings.InstanceName, settings.InstanceName) bool { return false }
 	fleet.run(clock.Second)
 	require.Contains(t, serving(fleet.members["entry-1"]), memberName(3))
 }
 
-// The network delivers an old datagram again. It says that a peer is not leaving, though it is by now; taking it would
-// send callers to an instance about to end.
-func TestOldDatagramsCountForNothing(t *testing.T) {
+// Guards against callers that are sent to a leaving instance after the network has delivered an old datagram again, in which
+// the instance is not leaving yet.
+func TestOldDatagramsAreIgnored(t *testing.T) {
 	fleet := newFleet(t, 2)
 	controller := fleet.members["entry-1"]
 	datagrams := []struct {
@@ -373,10 +373,11 @@
 		require.Equal(t, datagram.want, controller.peers["entry-2"].leaving)
 	}
 	heartbeatReceived{heartbeat: instance.Heartbeat{From: "stranger", Incarnation: 1, Sequence: 1}}.apply(controller)
-	require.Len(t, controller.peers, 1, "a datagram makes nobody a member")
+	require.Len(t, controller.peers, 1, "a datagram from an unlisted instance does not make it a member")
 }
 
-// A fleet four times as large must not cost an instance four times the datagrams, or the budget of a node is gone.
+// Guards against heartbeat traffic that grows with the fleet and exceeds the budget of a node: a fleet four times as large
+// must not cost an instance four times the datagrams.
 func TestHeartbeatsArePacedByFleetSize(t *testing.T) {
 	sentBy := func(peers int) int {
 		sent := 0
@@ -388,35 +389,35 @@
 		for number := range peers {
 			controller.peers[memberName(number)] = &peerState{}
 		}
-		for now := clock.Moment(1); now < clock.Moment(clock.Minute); now = now.Add(tickEvery) {
+		for now := clock.Moment(1); now < clock.Moment(clock.Minute); now = now.Add(tickInterval) {
 			controller.sendHeartbeats(now, false)
 		}
 		return sent
 	}
 	require.Less(t, sentBy(56), sentBy(14)+sentBy(14)/10)
-	require.Greater(t, sentBy(56), 56*10, "each peer still hears it every few seconds")
+	require.Greater(t, sentBy(56), 56*10, "each peer still gets a heartbeat every few seconds")
 }
 
-// Measuring must cost a backend server the same whatever the number of instances: each target's report is read at the
-// settings' rate by the whole fleet, not by each instance.
+// Guards against measuring load that grows with the number of instances: each target's report is read at the rate in the
+// settings by the whole fleet together, not by each instance.
 func TestMeasuringStaysWithinItsBudget(t *testing.T) {
 	for _, count := range []int{5, 15, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			fleet := newFleet(t, count)
 			fleet.run(20 * clock.Second)
-			asked := map[settings.TargetName]int{}
+			requested := map[settings.TargetName]int{}
 			for _, controller := range fleet.members {
 				controller.options.RequestReport = func(request ReportRequest) bool {
-					asked[request.Target]++
+					requested[request.Target]++
 					return true
 				}
 			}
 			const seconds = 10
 			fleet.run(seconds * clock.Second)
-			require.Len(t, asked, targetCount)
-			for target, reads := range asked {
-				most := seconds*fleet.site.Measuring.ReportsPerTargetPerSecond + 1
-				require.LessOrEqual(t, float64(reads), most, target)
+			require.Len(t, requested, targetCount)
+			for target, reads := range requested {
+				maxReads := seconds*fleet.site.Measuring.ReportsPerTargetPerSecond + 1
+				require.LessOrEqual(t, float64(reads), maxReads, target)
 				require.Positive(t, reads)
 			}
 		})
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -7,28 +7,28 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// event is something that reaches the control goroutine.
+// event is a change that the control goroutine applies to its state.
 type event interface {
 	apply(controller *Controller)
 }
 
-// documentRead is a document of the configuration service, or what was wrong with it.
+// documentRead is a document that was read from the configuration service.
 type documentRead struct {
 	key  string
 	text []byte
 }
 
-// listRead is a new list of instances.
+// listRead is a list of instances that was read from the platform.
 type listRead struct {
 	list platform.List
 }
 
-// heartbeatReceived is a peer's datagram.
+// heartbeatReceived is a heartbeat from a peer.
 type heartbeatReceived struct {
 	heartbeat instance.Heartbeat
 }
 
-// reportRead is a backend server's load report, or the failure to read it.
+// reportRead is a backend server's load report, or the error from reading it.
 type reportRead struct {
 	service settings.ServiceName
 	target  settings.TargetName
@@ -36,10 +36,10 @@
 	err     error
 }
 
-// leaveAsked says that the instance is to leave.
-type leaveAsked struct{}
+// leaveRequested starts the drain of the instance.
+type leaveRequested struct{}
 
-// statusAsked asks for the state that operators read.
-type statusAsked struct {
-	answer chan<- Status
+// statusRequested requests the status for operators.
+type statusRequested struct {
+	response chan<- Status
 }
--- a/internal/control/package.go
+++ b/internal/control/package.go
@@ -1,9 +1,9 @@
-// Package control holds the state that an instance decides by: the settings in force, the lists of instances and
-// backend servers, what peers say, and which backend servers are cold.
+// Package control holds the control state of an instance: the settings in force, the lists of instances and backend
+// servers, the state reported by peers, and which backend servers are cold.
 //
-// One goroutine owns all of it. Watches, datagrams and load reports reach it as events; it publishes an immutable
-// routing.Table for traffic and sets the limits of each service's Dispatcher. When it stands still, traffic goes on
-// with what was published last.
+// One goroutine owns all of this state. Watches, datagrams and load reports reach it as events; it publishes an immutable
+// routing.Table for traffic and sets the limits of each service's Dispatcher. If the goroutine stalls, requests are still
+// handled with the last published table.
 //
 // # Usage
 //
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -22,46 +22,46 @@
 	EventListApplied     = "list.applied"
 )
 
-// peerState is what is known of another entry instance.
+// peerState is the state of another entry instance.
 type peerState struct {
-	record      platform.Instance
-	address     netip.AddrPort
-	lastHeard   clock.Moment
-	incarnation instance.Incarnation
-	sequence    instance.Sequence
-	digest      instance.Digest
-	leaving     bool
-	suspected   bool
+	record        platform.Instance
+	address       netip.AddrPort
+	lastHeartbeat clock.Moment
+	incarnation   instance.Incarnation
+	sequence      instance.Sequence
+	digest        instance.Digest
+	leaving       bool
+	suspected     bool
 }
 
-// heartbeatState is the sending side.
+// heartbeatState is the state for sending heartbeats.
 type heartbeatState struct {
 	sequence instance.Sequence
-	next     clock.Moment
-	// order are the targets that heartbeats speak of, cursor the one whose turn is next.
+	nextSend clock.Moment
+	// order has the targets that heartbeats report in turn, and cursor is the index of the next one.
 	order  []instance.TargetKey
 	cursor int
-	// first are targets whose news go before the others'.
-	first []instance.TargetKey
-	// fullUntil is the moment until which heartbeats are filled, because a peer has just started.
+	// priority has recently changed targets, which are reported before the others.
+	priority []instance.TargetKey
+	// fullUntil is the moment until which heartbeats carry as many targets as fit, because a peer has just started.
 	fullUntil clock.Moment
 }
 
-// restedTargets is how many targets a heartbeat speaks of when nothing has changed. What was told before is only told
-// again in case a datagram was lost; filled ones would take three times the bytes.
-const restedTargets = 2
+// unchangedTargetsPerHeartbeat is how many targets a heartbeat reports when nothing has changed. Unchanged targets are
+// repeated only in case a datagram was lost; full datagrams would take three times the bytes.
+const unchangedTargetsPerHeartbeat = 2
 
-// urgentRepeats is how often news are told first: a few datagrams in a row may be lost.
-const urgentRepeats = 4
+// priorityRepeats is how many heartbeats report a changed target first: several datagrams in a row may be lost.
+const priorityRepeats = 4
 
-// urgent puts a target first in the next heartbeats.
-func (heartbeatState *heartbeatState) urgent(key instance.TargetKey) {
-	for range urgentRepeats {
-		heartbeatState.first = append(heartbeatState.first, key)
+// prioritize reports a target first in the next heartbeats.
+func (heartbeatState *heartbeatState) prioritize(key instance.TargetKey) {
+	for range priorityRepeats {
+		heartbeatState.priority = append(heartbeatState.priority, key)
 	}
 }
 
-// keyOf hashes a target's name.
+// keyOf hashes the names of a service and a target.
 func keyOf(serviceName settings.ServiceName, target settings.TargetName) instance.TargetKey {
 	hash := fnv.New64a()
 	// Writing to a hash never fails.
@@ -71,7 +71,8 @@
 	return instance.TargetKey(hash.Sum64())
 }
 
-// apply takes a new list. An index that went back is taken too: a platform that was set up anew counts from the start.
+// apply replaces the list of instances. A list with a lower index is accepted too, since a platform that was reinstalled
+// starts again at the first index.
 func (read listRead) apply(controller *Controller) {
 	controller.list = read.list
 	controller.options.Registry.Events.Add(EventListApplied, 1)
@@ -92,21 +93,21 @@
 func (controller *Controller) listPeer(now clock.Moment, name settings.InstanceName, record platform.Instance) {
 	peer, known := controller.peers[name]
 	if !known {
-		// A peer that was just listed has not had time to be heard.
-		peer = &peerState{lastHeard: now}
+		// A peer that was just listed has not had time to send a heartbeat.
+		peer = &peerState{lastHeartbeat: now}
 		controller.peers[name] = peer
 	}
 	peer.record = record
-	// The client has checked that it can be read.
+	// The platform client has validated the address.
 	peer.address = netip.MustParseAddrPort(record.PeerAddress)
 }
 
-// eligibleInstances are the entry instances that callers may be sent to.
+// eligibleInstances returns the entry instances whose addresses may be given to callers.
 func (controller *Controller) eligibleInstances() []routing.Instance {
-	ignoreSuspicion := controller.suspectsMost()
+	ignoreSuspicion := controller.suspectsMajority()
 	var eligible []routing.Instance
 	for _, record := range controller.list.Instances {
-		if record.Kind == platform.KindEntry && controller.takesWork(record) && controller.vouchesFor(record, ignoreSuspicion) {
+		if record.Kind == platform.KindEntry && controller.acceptsTraffic(record) && controller.isEligible(record, ignoreSuspicion) {
 			eligible = append(eligible, routing.Instance{
 				Name: settings.InstanceName(record.Name), Address: record.Address, DataCentre: record.DataCentre,
 			})
@@ -115,7 +116,9 @@
 	return eligible
 }
 
-func (controller *Controller) vouchesFor(record platform.Instance, ignoreSuspicion bool) bool {
+// isEligible reports whether an entry instance neither leaves nor is suspected. Suspicions are ignored if ignoreSuspicion is
+// set.
+func (controller *Controller) isEligible(record platform.Instance, ignoreSuspicion bool) bool {
 	name := settings.InstanceName(record.Name)
 	if name == controller.options.Name {
 		return !controller.leaving
@@ -124,9 +127,9 @@
 	return !known || !peer.leaving && (ignoreSuspicion || !peer.suspected)
 }
 
-// suspectsMost reports whether more than half of the peers seem silent. Then this instance is more likely to be the one
-// that is cut off, and sending all callers to the few it hears would topple them; so suspicion counts for nothing.
-func (controller *Controller) suspectsMost() bool {
+// suspectsMajority reports whether more than half of the peers are suspected. In that case this instance is more likely to
+// be partitioned itself, and sending all callers to the few reachable peers would overload them. Suspicions are then ignored.
+func (controller *Controller) suspectsMajority() bool {
 	suspected := 0
 	for _, peer := range controller.peers {
 		if peer.suspected {
@@ -136,11 +139,11 @@
 	return 2*suspected > len(controller.peers)
 }
 
-// reviewPeers suspects those that have been silent for too long.
-func (controller *Controller) reviewPeers(now clock.Moment) {
+// updateSuspicions marks peers as suspected that have sent no heartbeat for too long, and clears the mark of the others.
+func (controller *Controller) updateSuspicions(now clock.Moment) {
 	changed := false
 	for name, peer := range controller.peers {
-		suspected := now.Since(peer.lastHeard) > controller.paced(controller.site.Fleet.SuspectAfter)
+		suspected := now.Since(peer.lastHeartbeat) > controller.scaleByFleetSize(controller.site.Fleet.SuspectAfter)
 		if suspected == peer.suspected {
 			continue
 		}
@@ -158,8 +161,8 @@
 	}
 }
 
-// apply takes a heartbeat. One that is not newer than the last is a copy, sent again by the network or by someone who
-// recorded it, and would undo what was said since.
+// apply processes a heartbeat. A heartbeat that is not newer than the last one is dropped: it is a duplicate from the
+// network or a replay by an attacker, and would revert newer state.
 func (received heartbeatReceived) apply(controller *Controller) {
 	heartbeat := received.heartbeat
 	peer, known := controller.peers[heartbeat.From]
@@ -167,19 +170,19 @@
 		controller.options.Registry.Events.Add(EventPeerNotListed, 1)
 		return
 	}
-	older := heartbeat.Incarnation < peer.incarnation
-	if older || heartbeat.Incarnation == peer.incarnation && heartbeat.Sequence <= peer.sequence {
+	olderIncarnation := heartbeat.Incarnation < peer.incarnation
+	if olderIncarnation || heartbeat.Incarnation == peer.incarnation && heartbeat.Sequence <= peer.sequence {
 		controller.options.Registry.Events.Add(EventPeerOldDatagram, 1)
 		return
 	}
 	if heartbeat.Incarnation != peer.incarnation {
-		controller.peerStarted()
+		controller.handlePeerStart()
 	}
 	peer.incarnation = heartbeat.Incarnation
 	peer.sequence = heartbeat.Sequence
 	peer.digest = heartbeat.Digest
-	peer.lastHeard = controller.options.Clock.Now()
-	controller.learnTargets(heartbeat.Targets)
+	peer.lastHeartbeat = controller.options.Clock.Now()
+	controller.applyPeerTargets(heartbeat.Targets)
 	if peer.leaving != heartbeat.Leaving {
 		peer.leaving = heartbeat.Leaving
 		controller.options.Log.Info().Str("peer", string(heartbeat.From)).Bool("leaving", peer.leaving).Msg("peer")
@@ -187,63 +190,64 @@
 	}
 }
 
-// peerStarted has the next heartbeats filled, so that a peer that has just started learns what is warm.
-func (controller *Controller) peerStarted() {
+// handlePeerStart sends full heartbeats for a while, so that a peer that has just started learns which targets are warm.
+func (controller *Controller) handlePeerStart() {
 	now := controller.options.Clock.Now()
-	if controller.firstHeard == 0 {
-		controller.firstHeard = now
+	if controller.firstHeartbeat == 0 {
+		controller.firstHeartbeat = now
 	}
-	controller.heartbeat.fullUntil = now.Add(controller.tellingTakes())
+	controller.heartbeat.fullUntil = now.Add(controller.targetSyncDuration())
 }
 
-// learnTargets takes peers' word on which targets are warm. The owner's word counts always, save against this
-// instance's own ownership; anyone else's only for servers that were there before this instance was.
-func (controller *Controller) learnTargets(news []instance.TargetNews) {
+// applyPeerTargets updates the targets from a peer's heartbeat. The phase reported by an owner is accepted unless this
+// instance owns the target itself. Other peers' reports are accepted only during the learning period, for targets that were
+// present at the start of this instance.
+func (controller *Controller) applyPeerTargets(news []instance.TargetNews) {
 	if len(news) == 0 {
 		return
 	}
 	now := controller.options.Clock.Now()
-	told := make(map[instance.TargetKey]instance.TargetNews, len(news))
+	reported := make(map[instance.TargetKey]instance.TargetNews, len(news))
 	for _, entry := range news {
-		told[entry.Target] = entry
+		reported[entry.Target] = entry
 	}
 	for _, state := range controller.services {
 		for name, target := range state.targets {
-			if entry, known := told[target.key]; known {
-				controller.learnTarget(now, target, entry)
+			if entry, known := reported[target.key]; known {
+				controller.applyPeerTarget(now, target, entry)
 				controller.setLimit(now, state, name, target)
 			}
 		}
 	}
 }
 
-func (controller *Controller) learnTarget(now clock.Moment, target *targetState, entry instance.TargetNews) {
+func (controller *Controller) applyPeerTarget(now clock.Moment, target *targetState, entry instance.TargetNews) {
 	switch {
 	case entry.Owned && !target.owned && entry.Warm:
 		target.phase = phaseWarm
 	case entry.Owned && !target.owned:
 		target.phase = phaseCold
-	case entry.Warm && target.phase == phaseUnknown && target.early && controller.learning(now):
+	case entry.Warm && target.phase == phaseUnknown && target.presentAtStart && controller.inLearningPeriod(now):
 		target.phase = phaseWarm
 	}
 }
 
-// peersAtFullPace is the number of peers up to which heartbeats go at the pace of the settings: 14 peers, 3.3 datagrams a
-// second and 135 bytes each, both ways, are 12.6 KB/s of the 13 KB/s that a node may spend.
-const peersAtFullPace = 14
+// maxPeersAtFullRate is the number of peers up to which heartbeats are sent at the rate in the settings: 14 peers with 3.3
+// datagrams per second of 135 bytes each, in both directions, take 12.6 KB/s of a node's budget of 13 KB/s.
+const maxPeersAtFullRate = 14
 
-// paced stretches a length of time by the number of peers, so that what an instance spends on heartbeats does not grow
-// with the fleet.
-func (controller *Controller) paced(length clock.Milliseconds) clock.Milliseconds {
-	return length * max(1, clock.Milliseconds(len(controller.peers))/peersAtFullPace)
+// scaleByFleetSize lengthens a time in proportion to the number of peers beyond maxPeersAtFullRate, so that an instance's
+// heartbeat traffic does not grow with the fleet.
+func (controller *Controller) scaleByFleetSize(length clock.Milliseconds) clock.Milliseconds {
+	return length * max(1, clock.Milliseconds(len(controller.peers))/maxPeersAtFullRate)
 }
 
-// sendHeartbeats sends one datagram to each peer when it is time.
-func (controller *Controller) sendHeartbeats(now clock.Moment, atOnce bool) {
-	if controller.site == nil || now < controller.heartbeat.next && !atOnce {
+// sendHeartbeats sends a heartbeat to each peer when it is due, or immediately.
+func (controller *Controller) sendHeartbeats(now clock.Moment, immediately bool) {
+	if controller.site == nil || now < controller.heartbeat.nextSend && !immediately {
 		return
 	}
-	controller.heartbeat.next = now.Add(controller.paced(controller.site.Fleet.HeartbeatEvery))
+	controller.heartbeat.nextSend = now.Add(controller.scaleByFleetSize(controller.site.Fleet.HeartbeatEvery))
 	controller.heartbeat.sequence++
 	heartbeat := instance.Heartbeat{
 		From:        controller.options.Name,
@@ -251,19 +255,19 @@
 		Sequence:    controller.heartbeat.sequence,
 		Leaving:     controller.leaving,
 		Digest:      controller.digest(),
-		Targets:     controller.targetNews(now),
+		Targets:     controller.targetsToSend(now),
 	}
 	for _, peer := range controller.peers {
 		controller.options.Send(peer.address, heartbeat)
 	}
 }
 
-// targetNews picks the targets that the next heartbeat speaks of: those that have just changed, then the others in
-// turn. An instance speaks of the services that it serves.
-func (controller *Controller) targetNews(now clock.Moment) []instance.TargetNews {
+// targetsToSend selects the targets that the next heartbeat reports: first those that have just changed, then the others in
+// turn. An instance reports only targets of the services that it serves.
+func (controller *Controller) targetsToSend(now clock.Moment) []instance.TargetNews {
 	known := map[instance.TargetKey]*targetState{}
 	for _, state := range controller.services {
-		if !controller.serves(state) {
+		if !controller.isServing(state) {
 			continue
 		}
 		for _, target := range state.targets {
@@ -275,37 +279,37 @@
 		heartbeat.order = slices.Sorted(maps.Keys(known))
 		heartbeat.cursor = 0
 	}
-	news := heartbeat.takeFirst(known)
-	most := restedTargets
+	news := heartbeat.takePriority(known)
+	maxTargets := unchangedTargetsPerHeartbeat
 	if now < heartbeat.fullUntil {
-		most = instance.TargetsMost
+		maxTargets = instance.TargetsMost
 	}
-	for len(news) < most && heartbeat.cursor < len(heartbeat.order) {
-		news = appendNews(news, known, heartbeat.order[heartbeat.cursor])
+	for len(news) < maxTargets && heartbeat.cursor < len(heartbeat.order) {
+		news = appendTarget(news, known, heartbeat.order[heartbeat.cursor])
 		heartbeat.cursor++
 	}
 	return news
 }
 
-// takeFirst tells the targets whose news go first, each once in a heartbeat.
-func (heartbeatState *heartbeatState) takeFirst(known map[instance.TargetKey]*targetState) []instance.TargetNews {
+// takePriority removes from the priority list and returns the targets for one heartbeat, each at most once.
+func (heartbeatState *heartbeatState) takePriority(known map[instance.TargetKey]*targetState) []instance.TargetNews {
 	var news []instance.TargetNews
 	var later []instance.TargetKey
-	told := map[instance.TargetKey]bool{}
-	for _, key := range heartbeatState.first {
-		if told[key] || len(news) == instance.TargetsMost {
+	added := map[instance.TargetKey]bool{}
+	for _, key := range heartbeatState.priority {
+		if added[key] || len(news) == instance.TargetsMost {
 			later = append(later, key)
 			continue
 		}
-		told[key] = true
-		news = appendNews(news, known, key)
+		added[key] = true
+		news = appendTarget(news, known, key)
 	}
-	heartbeatState.first = later
+	heartbeatState.priority = later
 	return news
 }
 
-// appendNews adds what is known of one target; of an unknown phase there is nothing to tell.
-func appendNews(news []instance.TargetNews, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetNews {
+// appendTarget appends a target's state, unless its phase is unknown.
+func appendTarget(news []instance.TargetNews, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetNews {
 	target, found := known[key]
 	if !found || target.phase == phaseUnknown {
 		return news
@@ -313,7 +317,7 @@
 	return append(news, instance.TargetNews{Target: key, Warm: target.phase == phaseWarm, Owned: target.owned})
 }
 
-// digest stands for the revisions of all settings in force.
+// digest hashes the revisions of all documents in force.
 func (controller *Controller) digest() instance.Digest {
 	hash := fnv.New64a()
 	// Writing to a hash never fails.
--- a/internal/control/reportreader.go
+++ b/internal/control/reportreader.go
@@ -8,18 +8,18 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// maxConcurrentReads is how many load reports are read at the same time. One takes about 6 ms, so this is enough for
-// thousands a second; a target that does not answer holds one reader for its timeout.
+// maxConcurrentReads is how many load reports are read at the same time. A read takes about 6 ms, so this is enough for
+// thousands per second; a target that does not respond occupies one reader until the timeout.
 const maxConcurrentReads = 16
 
-// ReportReader reads load reports, so that the control goroutine never waits for a backend server.
+// ReportReader reads load reports in goroutines of its own, so that the control goroutine never waits for a backend server.
 type ReportReader struct {
 	requests chan ReportRequest
 	read     func(context.Context, settings.TargetName, string) (backendserver.Report, error)
 	deliver  func(ReportRequest, backendserver.Report, error)
 }
 
-// NewReportReader returns a reportReader that reads by read and gives what it read to deliver.
+// NewReportReader returns a reader that fetches each report with read and passes the result to deliver.
 func NewReportReader(
 	read func(context.Context, settings.TargetName, string) (backendserver.Report, error),
 	deliver func(ReportRequest, backendserver.Report, error),
@@ -27,7 +27,7 @@
 	return &ReportReader{requests: make(chan ReportRequest, maxConcurrentReads), read: read, deliver: deliver}
 }
 
-// Enqueue takes a request if there is room for it, and never blocks.
+// Enqueue queues a request, and reports false if the queue is full. It never blocks.
 func (reportReader *ReportReader) Enqueue(request ReportRequest) bool {
 	select {
 	case reportReader.requests <- request:
@@ -37,7 +37,7 @@
 	}
 }
 
-// Serve reads until the context ends.
+// Serve reads reports until the context ends, and returns the context's error.
 func (reportReader *ReportReader) Serve(ctx context.Context) error {
 	var readers sync.WaitGroup
 	for range maxConcurrentReads {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,22 +13,22 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Status is what operators read of an instance's control state.
+// Status is an instance's control state for operators.
 type Status struct {
 	Instance     settings.InstanceName   `json:"instance"`
 	DataCentre   settings.DataCentreName `json:"dataCentre"`
 	Leaving      bool                    `json:"leaving"`
 	Ready        bool                    `json:"ready"`
 	SiteRevision settings.Revision       `json:"siteRevision"`
-	// Digest is equal at instances that have the same settings in force.
+	// Digest identifies the settings in force. Instances with the same settings have the same digest.
 	Digest instance.Digest `json:"settingsDigest"`
-	// Problems are documents that were refused, with the reason.
+	// Problems maps the keys of rejected documents to the reasons.
 	Problems map[string]string `json:"problems"`
 	Peers    []PeerStatus      `json:"peers"`
 	Services []ServiceStatus   `json:"services"`
 }
 
-// PeerStatus is one other entry instance.
+// PeerStatus is the state of another entry instance.
 type PeerStatus struct {
 	Name         settings.InstanceName   `json:"name"`
 	DataCentre   settings.DataCentreName `json:"dataCentre"`
@@ -37,7 +37,7 @@
 	SameSettings bool                    `json:"sameSettings"`
 }
 
-// ServiceStatus is one service.
+// ServiceStatus is the state of a service at this instance.
 type ServiceStatus struct {
 	Name     settings.ServiceName    `json:"name"`
 	Revision settings.Revision       `json:"revision"`
@@ -53,7 +53,7 @@
 	})
 }
 
-// TargetStatus is one backend server.
+// TargetStatus is the state of a backend server at this instance.
 type TargetStatus struct {
 	service.TargetState
 
@@ -62,21 +62,21 @@
 	Connections int    `json:"connections"`
 }
 
-// Status asks the control goroutine. The error is the context's when it does not answer in time.
+// Status requests the state from the control goroutine. It returns the context's error if there is no response in time.
 func (controller *Controller) Status(ctx context.Context) (Status, error) {
-	answer := make(chan Status, 1)
-	if err := controller.post(ctx, statusAsked{answer: answer}); err != nil {
-		return Status{}, errors.Wrap(err, "ask the control goroutine")
+	response := make(chan Status, 1)
+	if err := controller.post(ctx, statusRequested{response: response}); err != nil {
+		return Status{}, errors.Wrap(err, "request status from the control goroutine")
 	}
 	select {
-	case status := <-answer:
+	case status := <-response:
 		return status, nil
 	case <-ctx.Done():
-		return Status{}, errors.Wrap(ctx.Err(), "wait for the control goroutine")
+		return Status{}, errors.Wrap(ctx.Err(), "wait for status from the control goroutine")
 	}
 }
 
-func (asked statusAsked) apply(controller *Controller) {
+func (requested statusRequested) apply(controller *Controller) {
 	status := Status{
 		Instance: controller.options.Name, DataCentre: controller.options.DataCentre,
 		Leaving: controller.leaving, Ready: controller.Table() != nil,
@@ -90,7 +90,7 @@
 	for _, name := range slices.Sorted(maps.Keys(controller.services)) {
 		status.Services = append(status.Services, controller.serviceStatus(controller.services[name]))
 	}
-	asked.answer <- status
+	requested.response <- status
 }
 
 func (controller *Controller) peerStatus(digest instance.Digest) []PeerStatus {
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -21,19 +21,19 @@
 	EventReportRequested = "report.asked"
 )
 
-// phase is how far a backend server has come since it started.
+// phase is the warm-up state of a backend server.
 type phase string
 
 const (
-	// phaseUnknown: nobody has said anything yet; nothing is sent to it.
+	// phaseUnknown means that no instance has reported the target's state yet. It gets no requests.
 	phaseUnknown phase = "unknown"
-	// phaseCold: it warms up, and only its owner sends to it.
+	// phaseCold means that the target is warming up. Only its owner sends requests to it.
 	phaseCold phase = "cold"
-	// phaseWarm: it bears its full number.
+	// phaseWarm means that the target can run its full number of concurrent requests.
 	phaseWarm phase = "warm"
 )
 
-// serviceState is a service as the control goroutine sees it.
+// serviceState is the control goroutine's state of a service.
 type serviceState struct {
 	name       settings.ServiceName
 	settings   *settings.Service
@@ -41,36 +41,37 @@
 	budget     *service.RetryBudget
 	targets    map[settings.TargetName]*targetState
 	serving    []routing.Instance
-	// owners are the serving instances that answer for each target.
+	// owners maps each target to the instance that warms it up and reads its load reports.
 	owners map[settings.TargetName]settings.InstanceName
 }
 
-// targetState is a backend server as the control goroutine sees it.
+// targetState is the control goroutine's state of a backend server.
 type targetState struct {
 	record platform.Instance
 	key    instance.TargetKey
 	phase  phase
-	// owned says that this instance answers for it.
+	// owned reports whether this instance is the target's owner.
 	owned bool
-	// early says that it was there before this instance, so that while the instance still learns, any peer's word that
-	// it is warm is taken. One that arrives later is cold until its owner says otherwise.
-	early bool
-	// waitUntil is the moment before which a new owner does not start it.
+	// presentAtStart reports whether the target was listed during the learning period of this instance. During that period
+	// a report from any peer that such a target is warm is accepted. A target that is listed later is cold until its owner
+	// reports that it is warm.
+	presentAtStart bool
+	// waitUntil is the moment until which a new owner delays the warm-up.
 	waitUntil clock.Moment
-	// rampStart is when it began to warm up here.
-	rampStart clock.Moment
-	// startedMs is the start that it last reported.
+	// warmupStart is when this instance started to warm up the target.
+	warmupStart clock.Moment
+	// startedMs is the start time of the server process in its last load report.
 	startedMs  int64
 	nextReport clock.Moment
 	limit      service.TargetLimit
 	limitSet   bool
 }
 
-// matchTargets brings a service's targets into line with the list and the data centres that are in.
-func (controller *Controller) matchTargets(state *serviceState) {
+// syncTargets updates a service's targets from the list of instances and the states of the data centres.
+func (controller *Controller) syncTargets(state *serviceState) {
 	wanted := map[settings.TargetName]platform.Instance{}
 	for _, record := range controller.list.Instances {
-		if record.Kind == platform.KindBackendServer && record.Service == state.name && controller.takesWork(record) {
+		if record.Kind == platform.KindBackendServer && record.Service == state.name && controller.acceptsTraffic(record) {
 			wanted[settings.TargetName(record.Name)] = record
 		}
 	}
@@ -91,21 +92,21 @@
 	}
 }
 
-// takesWork reports whether an instance is live and its data centre is in.
-func (controller *Controller) takesWork(record platform.Instance) bool {
+// acceptsTraffic reports whether an instance is live and its data centre is in service.
+func (controller *Controller) acceptsTraffic(record platform.Instance) bool {
 	dataCentre, known := controller.site.DataCentres[record.DataCentre]
 	return record.State == platform.StateLive && known && dataCentre.State == settings.DataCentreIn
 }
 
-// connectionShare is the number of connections that this instance may open to one target. It rests on the settings
-// alone, so that the agreed number holds whatever the instances know of each other.
+// connectionShare returns the number of connections that this instance may open to one target. It depends only on the
+// settings, so that the limit for all instances together holds even if they disagree about the fleet's members.
 func (controller *Controller) connectionShare(state *serviceState) int {
 	return max(state.settings.ConnectionsPerTarget/controller.site.Fleet.InstancesMost, 1)
 }
 
 func (controller *Controller) addTarget(state *serviceState, name settings.TargetName, record platform.Instance) {
 	target := &targetState{record: record, key: keyOf(state.name, name), phase: phaseUnknown}
-	target.early = controller.learning(controller.options.Clock.Now())
+	target.presentAtStart = controller.inLearningPeriod(controller.options.Clock.Now())
 	state.targets[name] = target
 	state.dispatcher.Add(name, record.Address, record.DataCentre)
 	controller.options.Registry.Events.Add(EventTargetAdded, 1)
@@ -118,42 +119,42 @@
 	controller.options.Registry.Events.Add(EventTargetRemoved, 1)
 }
 
-// silentStarts is how many times suspectAfter an instance that has just started waits for a first word from a peer.
-const silentStarts = 5
+// firstHeartbeatTimeouts is how many times suspectAfter a new instance waits for the first heartbeat of a peer.
+const firstHeartbeatTimeouts = 5
 
-// learning reports whether this instance, just started, still listens before it takes servers that nobody has called
-// warm for cold ones. It listens from the first word of a peer until that peer had time to go once through everything
-// it has to tell; with no word at all it goes on after a while, since then it may well be alone.
-func (controller *Controller) learning(now clock.Moment) bool {
+// inLearningPeriod reports whether this instance has just started and still waits for peers to report which targets are
+// warm, before it treats the remaining targets as cold. The period lasts from the first heartbeat of a peer until that peer
+// has had time to report all its targets. Without any heartbeat it ends after a timeout, since the instance may be alone.
+func (controller *Controller) inLearningPeriod(now clock.Moment) bool {
 	fleet := controller.site.Fleet
-	if controller.firstHeard == 0 {
-		return now < controller.started.Add(controller.paced(silentStarts*fleet.SuspectAfter)) && len(controller.peers) > 0
+	if controller.firstHeartbeat == 0 {
+		return now < controller.started.Add(controller.scaleByFleetSize(firstHeartbeatTimeouts*fleet.SuspectAfter)) && len(controller.peers) > 0
 	}
-	return now < controller.firstHeard.Add(controller.tellingTakes())
+	return now < controller.firstHeartbeat.Add(controller.targetSyncDuration())
 }
 
-// tellingTakes is how long a peer takes to tell a new one everything it knows.
-func (controller *Controller) tellingTakes() clock.Milliseconds {
+// targetSyncDuration returns how long a peer needs to report all its targets to a new instance.
+func (controller *Controller) targetSyncDuration() clock.Milliseconds {
 	rounds := clock.Milliseconds(len(controller.list.Instances)/instance.TargetsMost + 3)
-	return controller.paced(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatEvery))
+	return controller.scaleByFleetSize(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatEvery))
 }
 
-// tendTargets moves a service's targets on in time: who owns them, how warm they are, and when to read their reports.
-func (controller *Controller) tendTargets(now clock.Moment, state *serviceState) {
+// updateTargets updates the ownership, warm-up and limits of a service's targets, and requests the load reports that are due.
+func (controller *Controller) updateTargets(now clock.Moment, state *serviceState) {
 	for name, target := range state.targets {
 		controller.setOwned(now, target, state.owners[name] == controller.options.Name)
 		if target.owned {
-			controller.warmUp(now, state, name, target)
+			controller.advanceWarmup(now, state, name, target)
 		}
 		if target.owned || controller.options.Policy.ReadsReports() {
-			controller.askReport(now, state, name, target)
+			controller.requestReport(now, state, name, target)
 		}
 		controller.setLimit(now, state, name, target)
 	}
 }
 
-// setOwned notes a change of ownership. A new owner waits before it warms up a server that is not warm: the one before
-// may still be sending to it, and the two together would give it more than it bears.
+// setOwned records a change of ownership. A new owner delays the warm-up of a target that is not warm: the previous owner
+// may still be sending to it, and both together would overload it.
 func (controller *Controller) setOwned(now clock.Moment, target *targetState, owned bool) {
 	if target.owned == owned {
 		return
@@ -165,42 +166,43 @@
 	}
 }
 
-// warmUp moves an owned target on from unknown to cold to warm.
-func (controller *Controller) warmUp(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
+// advanceWarmup moves an owned target from unknown to cold and from cold to warm when it is due.
+func (controller *Controller) advanceWarmup(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
 	switch {
-	case target.phase == phaseUnknown && now >= target.waitUntil && !(target.early && controller.learning(now)):
-		controller.turnCold(now, state, name, target, "nobody called it warm")
-	case target.phase == phaseCold && now.Since(target.rampStart) >= state.settings.ColdStart.FullAfter:
+	case target.phase == phaseUnknown && now >= target.waitUntil && !(target.presentAtStart && controller.inLearningPeriod(now)):
+		controller.markCold(now, state, name, target, "no peer reported it as warm")
+	case target.phase == phaseCold && now.Since(target.warmupStart) >= state.settings.ColdStart.FullAfter:
 		target.phase = phaseWarm
-		controller.heartbeat.urgent(target.key)
+		controller.heartbeat.prioritize(target.key)
 		controller.options.Registry.Events.Add(EventTargetWarm, 1)
 	}
 }
 
-func (controller *Controller) turnCold(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState, why string) {
+func (controller *Controller) markCold(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState, reason string) {
 	target.phase = phaseCold
-	target.rampStart = now
-	controller.heartbeat.urgent(target.key)
+	target.warmupStart = now
+	controller.heartbeat.prioritize(target.key)
 	controller.options.Registry.Events.Add(EventTargetCold, 1)
-	controller.options.Log.Debug().Str("service", string(state.name)).Str("target", string(name)).Str("why", why).Msg("cold")
+	controller.options.Log.Debug().Str("service", string(state.name)).Str("target", string(name)).Str("why", reason).Msg("cold")
 }
 
-// askReport has the target's load report read when its turn has come. Only the owner reads it, so that what measuring
-// adds does not grow with the fleet.
-func (controller *Controller) askReport(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
+// requestReport requests the target's load report when it is due. Only the owner reads it, so that the load from measuring
+// does not grow with the fleet.
+func (controller *Controller) requestReport(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
 	if now < target.nextReport {
 		return
 	}
-	every := clock.Second / clock.Milliseconds(controller.site.Measuring.ReportsPerTargetPerSecond)
-	target.nextReport = now.Add(every)
+	interval := clock.Second / clock.Milliseconds(controller.site.Measuring.ReportsPerTargetPerSecond)
+	target.nextReport = now.Add(interval)
 	request := ReportRequest{Service: state.name, Target: name, Path: state.settings.ReportPath}
 	if controller.options.RequestReport(request) {
 		controller.options.Registry.Events.Add(EventReportRequested, 1)
 	}
 }
 
-// apply takes a load report. All that is believed of it is that the server's process is another than before: it is
-// cold again, under the same address and without a word from the platform.
+// apply processes a load report. A changed start time shows that the server process was restarted under the same address,
+// which the platform does not announce; its target is then cold again. The load passed to the dispatcher is for baseline
+// policies only.
 func (read reportRead) apply(controller *Controller) {
 	if read.err != nil {
 		controller.options.Registry.Events.Add(EventReportFailed, 1)
@@ -220,14 +222,14 @@
 	target.startedMs = read.report.StartedMs
 	if before != 0 && before != target.startedMs && target.owned {
 		now := controller.options.Clock.Now()
-		controller.turnCold(now, state, read.target, target, "it has started anew")
+		controller.markCold(now, state, read.target, target, "the server was restarted")
 		controller.setLimit(now, state, read.target, target)
 	}
 }
 
-// setLimit tells the dispatcher how many requests this instance may have on the target.
+// setLimit passes a changed limit of this instance's concurrent requests on the target to the dispatcher.
 func (controller *Controller) setLimit(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
-	limit := controller.limitOf(now, state, target)
+	limit := controller.targetLimit(now, state, target)
 	if target.limitSet && limit == target.limit {
 		return
 	}
@@ -236,27 +238,27 @@
 	state.dispatcher.SetLimit(name, limit, 0)
 }
 
-func (controller *Controller) limitOf(now clock.Moment, state *serviceState, target *targetState) service.TargetLimit {
-	ownMost := controller.connectionShare(state)
+func (controller *Controller) targetLimit(now clock.Moment, state *serviceState, target *targetState) service.TargetLimit {
+	maxOwn := controller.connectionShare(state)
 	switch {
-	case target.phase == phaseWarm && controller.serves(state):
-		return service.WarmShare(controller.options.Policy, state.settings.SlotsPerTarget, len(state.serving), ownMost)
+	case target.phase == phaseWarm && controller.isServing(state):
+		return service.WarmShare(controller.options.Policy, state.settings.SlotsPerTarget, len(state.serving), maxOwn)
 	case target.phase == phaseWarm:
-		// Callers with an old answer are served, but never with much of a target.
+		// Callers that still use cached addresses of this instance are served, with a minimal share of each target.
 		return service.TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}
 	case target.phase == phaseCold && target.owned:
 		warmup := service.Warmup{
 			Places: state.settings.ColdStart.Places, Slots: state.settings.SlotsPerTarget, FullAfter: state.settings.ColdStart.FullAfter,
 		}
-		limit := min(warmup.LimitAt(now.Since(target.rampStart)), ownMost)
+		limit := min(warmup.LimitAt(now.Since(target.warmupStart)), maxOwn)
 		return service.TargetLimit{Limit: limit, OwnMost: limit}
 	default:
 		return service.TargetLimit{}
 	}
 }
 
-// serves reports whether callers of the service are sent to this instance.
-func (controller *Controller) serves(state *serviceState) bool {
+// isServing reports whether this instance is among the addresses given to callers of the service.
+func (controller *Controller) isServing(state *serviceState) bool {
 	for _, serving := range state.serving {
 		if serving.Name == controller.options.Name {
 			return true
