--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,11 +1,12 @@
-// Package entry puts the parts of one entry instance together and runs them as a tree.
+// Package entry assembles an entry instance, which reads a configuration service and a list of instances, and runs its
+// components in a supervisor tree.
 //
 // # Usage
 //
 //	instance, err := entry.New(entry.Options{Settings: process, Log: log})
 //	go instance.Serve(ctx)
 //	...
-//	instance.Leave(ctx) // returns when no request is under way any more
+//	instance.Leave(ctx) // returns when no request is in flight
 package entry
 
 import (
@@ -33,16 +34,16 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// storiesKept is how many requests explain can tell of.
-const storiesKept = 4096
+// traceCapacity is the number of recent request traces kept for the explain path.
+const traceCapacity = 4096
 
-// Options are what an Entry is made from.
+// Options configures an Entry.
 type Options struct {
 	Settings *settings.Process
 	Log      zerolog.Logger
-	// Seed makes the instance's random choices repeatable; 0 takes a random one.
+	// Seed makes the instance's random choices repeatable; 0 selects a random seed.
 	Seed uint64
-	// Policy is how targets are chosen; it is left empty unless a baseline is measured.
+	// Policy selects targets. It is set only to measure a baseline policy.
 	Policy service.Policy
 }
 
@@ -62,7 +63,8 @@
 	operators  *httppart.Server
 }
 
-// New binds the addresses for callers and operators and makes every part; nothing runs until Serve.
+// New binds the addresses for callers and operators and creates all components; nothing runs until Serve. It returns an
+// error if an address cannot be bound.
 func New(options Options) (*Entry, error) {
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -120,7 +122,7 @@
 
 func (entry *Entry) makeTraffic() error {
 	process := entry.options.Settings
-	traces := trace.NewRing(storiesKept)
+	traces := trace.NewRing(traceCapacity)
 	entry.handler = caller.NewHandler(caller.Options{
 		Table: entry.controller.Table, Servers: entry.servers, Registry: entry.registry, Traces: traces, Clock: entry.clock,
 		Instance: process.Instance, MaxStall: process.Callers.StallMost,
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// Serve runs the instance until the context ends.
+// Serve runs the instance until the context ends, which is not an error.
 func (entry *Entry) Serve(ctx context.Context) error {
 	defer entry.servers.Close()
 	err := entry.tree.Serve(ctx)
@@ -155,17 +157,18 @@
 	return err
 }
 
-// CallerAddress is where callers connect.
+// CallerAddress returns the listening address for callers.
 func (entry *Entry) CallerAddress() string {
 	return entry.callers.Address()
 }
 
-// OperatorAddress is where operators read.
+// OperatorAddress returns the listening address for operators.
 func (entry *Entry) OperatorAddress() string {
 	return entry.operators.Address()
 }
 
-// PeerAddress waits until datagrams are taken and returns where.
+// PeerAddress waits until the instance receives datagrams, and returns the address on which it does. It returns an error if
+// the context ends first.
 func (entry *Entry) PeerAddress(ctx context.Context) (netip.AddrPort, error) {
 	return entry.plane.Address(ctx)
 }
@@ -175,46 +178,48 @@
 	return entry.controller.Status(ctx)
 }
 
-// operatorStatus returns the control state as operators read it.
+// operatorStatus returns the control state for the operators' interface.
 func (entry *Entry) operatorStatus(ctx context.Context) (operator.Status, error) {
 	status, err := entry.controller.Status(ctx)
 	return operator.Status{Ready: status.Ready, Leaving: status.Leaving, Detail: status}, err
 }
 
-// Metrics returns what is counted and measured.
+// Metrics returns the current values of all metrics.
 func (entry *Entry) Metrics() metrics.View {
 	return entry.registry.View()
 }
 
-// answerShare is the part of the time for leaving within which every request is answered.
-const answerShare = 0.92
+// respondShare is the share of the drain's time limit within which every request is responded to.
+const respondShare = 0.92
 
-// Leave takes the instance out of service: first out of address answers, then, when the answers that callers keep have lapsed, closed to
-// new connections, and at last it waits until the requests under way have ended. What can't end before the context does is answered
-// shortly before. The error is the context's when that took too long.
+// Leave drains the instance. It first removes the instance from the addresses given to callers, stops listening after the
+// addresses that callers cache have expired, and then waits for the requests in flight. Requests that cannot complete before
+// the context's deadline get an error response shortly before it. Leave returns the context's error if the drain takes too
+// long.
 func (entry *Entry) Leave(ctx context.Context) error {
-	lapse := entry.answersLapse()
+	addressLifetime := entry.addressCacheLifetime()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		entry.handler.Drain(lapse, answerShare*clock.Of(time.Until(deadline)))
+		entry.handler.Drain(addressLifetime, respondShare*clock.Of(time.Until(deadline)))
 	}
 	if err := entry.controller.Leave(ctx); err != nil {
 		return errors.Wrap(err, "leave")
 	}
 	select {
-	case <-time.After(lapse.Duration()):
+	case <-time.After(addressLifetime.Duration()):
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "wait for address answers to lapse")
+		return errors.Wrap(ctx.Err(), "wait for cached addresses to expire")
 	}
 	err := entry.callers.Shutdown(ctx)
 	if entry.handler.InFlight() == 0 {
-		// Connections that are still open have nothing more to bring.
+		// The connections that are still open are idle.
 		return nil
 	}
-	return errors.Wrap(err, "wait for requests under way")
+	return errors.Wrap(err, "wait for requests in flight")
 }
 
-// answersLapse is how long callers may still come by an answer that was given before everyone knew.
-func (entry *Entry) answersLapse() clock.Milliseconds {
+// addressCacheLifetime returns how long callers may still use this instance's address: the time for which they cache it, and
+// two heartbeat intervals in which peers may still give it to them.
+func (entry *Entry) addressCacheLifetime() clock.Milliseconds {
 	table := entry.controller.Table()
 	if table == nil {
 		return 0
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -23,31 +23,31 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Bounds of waiting; only a broken test reaches the first.
+// Limits for waiting; only a failing test reaches waitTimeout.
 const (
-	waitMost = time.Minute
-	waitTick = 5 * time.Millisecond
+	waitTimeout = time.Minute
+	waitTick    = 5 * time.Millisecond
 )
 
-// fixture is one instance with a stand-in of the platform and one backend server.
+// fixture is one instance with a fake platform and one backend server.
 type fixture struct {
 	entry    *Entry
 	platform *platformtest.Platform
 	backend  *backendservertest.Server
 	running  chan struct{}
 	release  chan struct{}
-	// answerKept is the setting that the next publish uses.
-	answerKept clock.Milliseconds
+	// addressTTL is the setting AnswerKept that the next publish uses.
+	addressTTL clock.Milliseconds
 }
 
-// publish puts the settings at the configuration service.
+// publish stores the settings in the fake platform's configuration service.
 func (fixture *fixture) publish(t *testing.T) {
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "")
 	require.NoError(t, err)
 	site := loaded.Site
 	site.Fleet.HeartbeatEvery = 20 * clock.Millisecond
 	site.Fleet.SuspectAfter = 60 * clock.Millisecond
-	site.Fleet.AnswerKept = fixture.answerKept
+	site.Fleet.AnswerKept = fixture.addressTTL
 	documents, err := site.Documents()
 	require.NoError(t, err)
 	for _, document := range documents {
@@ -57,7 +57,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	fixture := &fixture{
-		platform: platformtest.New(), running: make(chan struct{}, 100), release: make(chan struct{}), answerKept: 10 * clock.Millisecond,
+		platform: platformtest.New(), running: make(chan struct{}, 100), release: make(chan struct{}), addressTTL: 10 * clock.Millisecond,
 	}
 	fixture.publish(t)
 	var err error
@@ -91,7 +91,7 @@
 	return fixture
 }
 
-// run runs serve until the test ends.
+// run runs serve until the test ends or the returned function is called, which waits until serve has returned.
 func run(t *testing.T, serve func(context.Context) error) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -118,8 +118,8 @@
 	return (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 }
 
-func (fixture *fixture) waitAnswered(t *testing.T) {
-	require.Eventually(t, func() bool { return fixture.isAnswered() }, waitMost, waitTick)
+func (fixture *fixture) waitUntilAnswered(t *testing.T) {
+	require.Eventually(t, func() bool { return fixture.isAnswered() }, waitTimeout, waitTick)
 }
 
 func (fixture *fixture) isAnswered() bool {
@@ -132,13 +132,13 @@
 	return result == outcome.Answered
 }
 
-// The whole of control is gone: no settings, no list, no peers, nobody who moves limits on. Callers notice nothing,
-// since traffic goes on with what was published last.
+// Guards against failed requests when all control components have stopped: settings, list, peers and limits are no longer
+// updated, but requests must still be handled with the last published routing table.
 func TestTrafficOutlivesControl(t *testing.T) {
 	fixture := newFixture(t)
 	stopControl := run(t, fixture.entry.control.Serve)
 	run(t, fixture.entry.traffic.Serve)
-	fixture.waitAnswered(t)
+	fixture.waitUntilAnswered(t)
 	stopControl()
 	for range 100 {
 		require.True(t, fixture.isAnswered())
@@ -146,20 +146,21 @@
 	response, err := http.Get("http://" + fixture.entry.OperatorAddress() + operator.MetricsPath)
 	require.NoError(t, err)
 	response.Body.Close()
-	require.Equal(t, http.StatusOK, response.StatusCode, "operators can still read")
+	require.Equal(t, http.StatusOK, response.StatusCode, "metrics are still available to operators")
 }
 
-// The platform fails in every way it can, for as long as it likes. What was read before stays in force.
+// Guards against platform faults that reach callers: during an outage, or with unreadable, empty or stale responses of the
+// platform, the settings and lists that were read before must stay in force.
 func TestPlatformOutageChangesNothing(t *testing.T) {
 	fixture := newFixture(t)
 	run(t, fixture.entry.Serve)
-	fixture.waitAnswered(t)
+	fixture.waitUntilAnswered(t)
 	for _, fault := range []platformtest.Fault{
 		platformtest.FaultDown, platformtest.FaultGarbage, platformtest.FaultEmpty, platformtest.FaultStale,
 	} {
 		before := fixture.platform.Reads()
 		fixture.platform.SetFault(fault)
-		require.Eventually(t, func() bool { return fixture.platform.Reads() >= before+2 }, waitMost, waitTick)
+		require.Eventually(t, func() bool { return fixture.platform.Reads() >= before+2 }, waitTimeout, waitTick)
 		require.True(t, fixture.isAnswered(), "fault %d", fault)
 		fixture.platform.SetFault(platformtest.FaultNone)
 	}
@@ -168,39 +169,39 @@
 	require.Len(t, status.Services, 3)
 }
 
-// An instance is told to leave while a request is under way. The request ends whole, callers are sent elsewhere first,
-// and the port closes only when nothing is under way any more.
+// Guards against requests that are cut off by a drain: the instance first stops giving out addresses, then closes its port,
+// and waits for the request in flight, which must complete.
 func TestLeavingCutsOffNothing(t *testing.T) {
 	fixture := newFixture(t)
 	run(t, fixture.entry.Serve)
-	fixture.waitAnswered(t)
-	answered := make(chan string, 1)
+	fixture.waitUntilAnswered(t)
+	responseText := make(chan string, 1)
 	go func() {
 		response, err := fixture.get("/held")
 		if err != nil {
-			answered <- err.Error()
+			responseText <- err.Error()
 			return
 		}
 		defer response.Body.Close()
 		text, err := io.ReadAll(response.Body)
 		if err != nil {
-			answered <- err.Error()
+			responseText <- err.Error()
 			return
 		}
-		answered <- string(text)
+		responseText <- string(text)
 	}()
 	<-fixture.running
 	left := make(chan error, 1)
 	go func() { left <- fixture.entry.Leave(context.Background()) }()
-	require.Eventually(t, func() bool { return !fixture.namesItself() }, waitMost, waitTick)
-	require.Eventually(t, func() bool { return !fixture.takesConnections() }, waitMost, waitTick)
-	require.Empty(t, left, "it has not left while a request is under way")
+	require.Eventually(t, func() bool { return !fixture.givesAddresses() }, waitTimeout, waitTick)
+	require.Eventually(t, func() bool { return !fixture.acceptsConnections() }, waitTimeout, waitTick)
+	require.Empty(t, left, "the drain does not end while a request is in flight")
 	close(fixture.release)
-	require.Len(t, <-answered, 32)
+	require.Len(t, <-responseText, 32)
 	require.NoError(t, <-left)
 }
 
-func (fixture *fixture) takesConnections() bool {
+func (fixture *fixture) acceptsConnections() bool {
 	connection, err := net.Dial("tcp", fixture.entry.CallerAddress())
 	if err != nil {
 		return false
@@ -209,18 +210,18 @@
 	return true
 }
 
-// Callers keep their address answers for a while and go on using a leaving instance until they lapse. They are served
-// as before, although the instance is named to nobody any more.
+// Callers cache addresses and use a draining instance until these expire. The instance must still serve them although it no
+// longer gives out addresses.
 func TestLeavingServesOldAnswers(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.answerKept = 60 * clock.Minute
+	fixture.addressTTL = 60 * clock.Minute
 	fixture.publish(t)
 	run(t, fixture.entry.Serve)
-	fixture.waitAnswered(t)
+	fixture.waitUntilAnswered(t)
 	ctx, stop := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	go func() { left <- fixture.entry.Leave(ctx) }()
-	require.Eventually(t, func() bool { return !fixture.namesItself() }, waitMost, waitTick)
+	require.Eventually(t, func() bool { return !fixture.givesAddresses() }, waitTimeout, waitTick)
 	for range 10 {
 		require.True(t, fixture.isAnswered())
 	}
@@ -229,8 +230,8 @@
 	require.ErrorIs(t, <-left, context.Canceled)
 }
 
-// namesItself reports whether the instance still answers which addresses to use.
-func (fixture *fixture) namesItself() bool {
+// givesAddresses reports whether the instance still responds to requests for instance addresses.
+func (fixture *fixture) givesAddresses() bool {
 	response, err := http.Get("http://" + fixture.entry.CallerAddress() + caller.AddressesPath + "?service=browsing")
 	if err != nil {
 		return false
@@ -239,11 +240,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Operators read the state, and the story of a request by the id in its answer.
+// Checks the paths for operators: state, readiness, metrics, and the trace of a request by the id in its response.
 func TestOperatorsRead(t *testing.T) {
 	fixture := newFixture(t)
 	run(t, fixture.entry.Serve)
-	fixture.waitAnswered(t)
+	fixture.waitUntilAnswered(t)
 	response, err := fixture.get("/slots")
 	require.NoError(t, err)
 	response.Body.Close()
@@ -258,12 +259,12 @@
 		{operator.ExplainPath + "?id=none", "no request", http.StatusNotFound},
 	}
 	for _, testCase := range cases {
-		answer, err := http.Get("http://" + fixture.entry.OperatorAddress() + testCase.path)
+		operatorResponse, err := http.Get("http://" + fixture.entry.OperatorAddress() + testCase.path)
 		require.NoError(t, err)
-		text, err := io.ReadAll(answer.Body)
+		text, err := io.ReadAll(operatorResponse.Body)
 		require.NoError(t, err)
-		answer.Body.Close()
-		require.Equal(t, testCase.status, answer.StatusCode, testCase.path)
+		operatorResponse.Body.Close()
+		require.Equal(t, testCase.status, operatorResponse.StatusCode, testCase.path)
 		require.Contains(t, string(text), testCase.want)
 	}
 }
--- a/internal/httppart/httppart.go
+++ b/internal/httppart/httppart.go
@@ -1,12 +1,12 @@
-// Package httppart runs an HTTP server as a part of a supervisor's tree. Its address is bound at once, so that it is known
-// before the tree runs, and again when the part is started anew.
+// Package httppart runs an HTTP server as a component of a supervisor tree. Its address is bound immediately, so that it is
+// known before the tree runs, and bound again when the component is restarted.
 //
 // # Usage
 //
-//	part, err := httppart.New(server, "10.0.0.4:8080", httppart.Listen)
-//	tree.Add(supervisor.Part{Name: "callers", Serve: server.Serve})
+//	server, err := httppart.New(httpServer, "10.0.0.4:8080", httppart.Listen)
+//	tree.Add(supervisor.Component{Name: "callers", Serve: server.Serve})
 //	...
-//	server.Shutdown(ctx) // returns when no request is under way any more
+//	server.Shutdown(ctx) // returns when no request is in flight
 package httppart
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Listener is where a part takes connections.
+// Listener accepts a server's connections.
 type Listener struct {
 	net.Listener
-	// Drain takes no more connections and returns when those that were taken have ended. It may be nil.
+	// Drain stops accepting connections and returns when the accepted ones have ended. It may be nil.
 	Drain func(context.Context) error
 }
 
@@ -31,7 +31,7 @@
 	return Listener{Listener: listener}, err
 }
 
-// Server is an HTTP server as a part of a tree.
+// Server is an HTTP server as a component of a supervisor tree. It is safe for concurrent use.
 type Server struct {
 	httpServer *http.Server
 	listen     func(address string) (Listener, error)
@@ -39,13 +39,14 @@
 
 	mutex    sync.Mutex
 	listener Listener
-	// former are the listeners from before the part was started again; connections that they took go on.
-	former []Listener
-	// served says that the listener has been handed to the server, drained that it takes no more connections for good.
+	// previous has the listeners from before restarts. Connections that they accepted stay open.
+	previous []Listener
+	// served reports whether the listener has been passed to the HTTP server, and drained whether Shutdown has been called.
 	served, drained bool
 }
 
-// New binds the address and returns a part that answers there once it is served.
+// New binds the address and returns a server that handles requests once Serve is called. It returns an error if the address
+// cannot be bound.
 func New(httpServer *http.Server, address string, listen func(string) (Listener, error)) (*Server, error) {
 	listener, err := listen(address)
 	if err != nil {
@@ -54,7 +55,8 @@
 	return &Server{httpServer: httpServer, listen: listen, address: listener.Addr().String(), listener: listener}, nil
 }
 
-// Serve answers until the context ends, or until the part has been shut down.
+// Serve handles requests until the context ends, and then closes the HTTP server. After Shutdown it handles none and only waits
+// for the end of the context. It returns earlier if the listener fails.
 func (server *Server) Serve(ctx context.Context) error {
 	listener, err := server.takeListener()
 	if err != nil {
@@ -70,12 +72,12 @@
 	return err
 }
 
-// Address is where the part listens.
+// Address returns the listening address.
 func (server *Server) Address() string {
 	return server.address
 }
 
-// Close gives up the address of a part that was never served.
+// Close closes the listener of a server that was never served.
 func (server *Server) Close() error {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -93,7 +95,7 @@
 		if err != nil {
 			return Listener{}, err
 		}
-		server.former = append(server.former, server.listener)
+		server.previous = append(server.previous, server.listener)
 		server.listener = listener
 	}
 	server.served = true
@@ -106,21 +108,21 @@
 	return server.drained
 }
 
-// Shutdown ends listening and waits for the requests under way.
+// Shutdown stops listening and waits for the requests in flight. It returns the context's error if that takes too long.
 func (server *Server) Shutdown(ctx context.Context) error {
 	server.mutex.Lock()
 	server.drained = true
-	listeners := append([]Listener{server.listener}, server.former...)
+	listeners := append([]Listener{server.listener}, server.previous...)
 	server.mutex.Unlock()
 	var draining sync.WaitGroup
-	failed := make([]error, len(listeners))
+	drainErrors := make([]error, len(listeners))
 	for index, listener := range listeners {
 		if listener.Drain != nil {
-			draining.Go(func() { failed[index] = listener.Drain(ctx) })
+			draining.Go(func() { drainErrors[index] = listener.Drain(ctx) })
 		}
 	}
 	draining.Wait()
-	if err := errors.Join(failed...); err != nil {
+	if err := errors.Join(drainErrors...); err != nil {
 		return err
 	}
 	return server.httpServer.Shutdown(ctx)
--- a/internal/httppart/httppart_test.go
+++ b/internal/httppart/httppart_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Waits for something that happens on another goroutine.
+// Timeout and interval for conditions that another goroutine fulfils.
 const (
-	waitMost = 10 * time.Second
-	waitTick = time.Millisecond
+	waitTimeout = 10 * time.Second
+	waitTick    = time.Millisecond
 )
 
-// Guards against requests that are dropped on connections from before the part was started again.
+// Guards against dropped requests on connections that were accepted before a restart of the component.
 func TestShutdownDrainsFormerListenersAsWell(t *testing.T) {
 	var listeners []net.Listener
 	drained := make(chan int, 2)
-	part, err := New(&http.Server{}, "127.0.0.1:0", func(address string) (Listener, error) {
+	server, err := New(&http.Server{}, "127.0.0.1:0", func(address string) (Listener, error) {
 		listener, err := net.Listen("tcp", address)
 		number := len(listeners)
 		listeners = append(listeners, listener)
@@ -32,18 +32,18 @@
 	})
 	require.NoError(t, err)
 	require.NoError(t, listeners[0].Close())
-	require.ErrorIs(t, part.Serve(t.Context()), net.ErrClosed)
+	require.ErrorIs(t, server.Serve(t.Context()), net.ErrClosed)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- part.Serve(ctx) }()
+	go func() { ended <- server.Serve(ctx) }()
 	require.Eventually(t, func() bool {
-		connection, err := net.Dial("tcp", part.Address())
+		connection, err := net.Dial("tcp", server.Address())
 		if err == nil {
 			connection.Close()
 		}
 		return err == nil
-	}, waitMost, waitTick)
-	_ = part.Shutdown(t.Context())
+	}, waitTimeout, waitTick)
+	_ = server.Shutdown(t.Context())
 	cancel()
 	require.ErrorIs(t, <-ended, context.Canceled)
 	close(drained)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what an instance does and keeps histograms for each tenant and class.
+// Package metrics has an instance's event counters, and counters and histograms for each class of a tenant's service.
 //
 // Counters are expvar variables; histograms are HDR histograms shown as quantiles. A Registry is an expvar.Var itself,
 // so that a process can publish it and several instances in one process can each have their own.
@@ -6,10 +6,10 @@
 // # Usage
 //
 //	registry := metrics.NewRegistry()
-//	class := registry.Class("rodopa", "browsing", "list")
-//	class.Whole.Record(12.5)
+//	class := registry.Class(metrics.ClassKey{Tenant: "rodopa", Service: "browsing", Class: "list"})
+//	class.Duration.Record(12.5)
 //	class.Count(outcome.Answered, outcome.ReasonServer)
-//	registry.Events.Add("settingsApplied", 1)
+//	registry.Events.Add("settings.applied", 1)
 package metrics
 
 import (
@@ -23,17 +23,18 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Histograms hold whole microseconds from 1 to longestMicroseconds, ten minutes, to two significant digits.
+// Histograms hold whole microseconds from 1 to maxMicroseconds, ten minutes, with two significant digits.
 const (
-	longestMicroseconds  = 10 * 60 * 1000 * 1000
+	maxMicroseconds      = 10 * 60 * 1000 * 1000
 	significantDigits    = 2
 	microsecondsPerMilli = 1000
 )
 
-// Histogram records lengths of time. It is safe for concurrent use.
+// Histogram records durations. It is safe for concurrent use.
 type Histogram struct {
 	mutex sync.Mutex
-	// counts takes 24 KB, and is nil until something is recorded: most classes of a large configuration are never used.
+	// counts takes 24 KB and is nil until the first value is recorded, since most classes of a large configuration are never
+	// used.
 	counts *hdrhistogram.Histogram
 }
 
@@ -42,19 +43,19 @@
 	return &Histogram{}
 }
 
-// Record adds a length; one beyond the range counts as the end of the range.
+// Record adds a duration. A duration outside the range is recorded as the nearest end of the range.
 func (histogram *Histogram) Record(length clock.Milliseconds) {
-	microseconds := min(max(int64(length*microsecondsPerMilli), 1), longestMicroseconds)
+	microseconds := min(max(int64(length*microsecondsPerMilli), 1), maxMicroseconds)
 	histogram.mutex.Lock()
 	defer histogram.mutex.Unlock()
 	if histogram.counts == nil {
-		histogram.counts = hdrhistogram.New(1, longestMicroseconds, significantDigits)
+		histogram.counts = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 	}
-	// The value lies within the range, so the only error there is can't arise.
+	// RecordValue returns an error only for values outside the range.
 	_ = histogram.counts.RecordValue(microseconds)
 }
 
-// Quantiles are what a histogram shows, in milliseconds.
+// Quantiles has the count, quantiles and maximum of a histogram. Durations are in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50Ms"`
@@ -64,7 +65,7 @@
 	Max   float64 `json:"mostMs"`
 }
 
-// Quantiles reads the histogram.
+// Quantiles returns the quantiles of the recorded durations.
 func (histogram *Histogram) Quantiles() Quantiles {
 	histogram.mutex.Lock()
 	defer histogram.mutex.Unlock()
@@ -81,37 +82,38 @@
 	}
 }
 
-// Class holds what is counted and measured for one class of one tenant's service.
+// Class has the counters and histograms for one class of one tenant's service.
 type Class struct {
-	// Duration is the time from a request's arrival to the end of its answer.
+	// Duration is the time from a request's arrival to the end of its response.
 	Duration *Histogram
-	// Overhead is the time to the start of the answer, less queueing and attempts: what the instance itself costs.
+	// Overhead is the time from a request's arrival to the start of its response, less queueing and attempts: the latency that
+	// the instance itself adds.
 	Overhead *Histogram
-	// QueueWait is the time spent waiting for a place, of requests that waited.
+	// QueueWait is the time spent waiting for a permit, of requests that waited.
 	QueueWait *Histogram
-	// AttemptDuration is the time from sending to a backend server until its answer starts.
+	// AttemptDuration is the time from sending a request to a backend server to the start of its response.
 	AttemptDuration *Histogram
 
 	outcomes expvar.Map
 	retries  expvar.Int
 }
 
-// Count counts the end of one request.
+// Count counts a request that ended with the outcome and reason.
 func (class *Class) Count(result outcome.Outcome, reason outcome.Reason) {
 	class.outcomes.Add(string(result)+"."+string(reason), 1)
 }
 
-// CountRetry counts a request sent again.
+// CountRetry counts a repeated request.
 func (class *Class) CountRetry() {
 	class.retries.Add(1)
 }
 
-// Retries returns the number of requests sent again.
+// Retries returns the number of repeated requests.
 func (class *Class) Retries() int64 {
 	return class.retries.Value()
 }
 
-// Outcomes returns how often a request ended so.
+// Outcomes returns the number of requests that ended with the outcome and reason.
 func (class *Class) Outcomes(result outcome.Outcome, reason outcome.Reason) int64 {
 	counter, counted := class.outcomes.Get(string(result) + "." + string(reason)).(*expvar.Int)
 	if !counted {
@@ -120,16 +122,16 @@
 	return counter.Value()
 }
 
-// ClassKey names a class over all services.
+// ClassKey identifies a class among all tenants and services.
 type ClassKey struct {
 	Tenant  string
 	Service settings.ServiceName
 	Class   settings.ClassName
 }
 
-// Registry holds everything that one instance counts.
+// Registry has all metrics of one instance.
 type Registry struct {
-	// Events counts changes of state and refusals that belong to no class.
+	// Events counts state changes and rejections that belong to no class.
 	Events expvar.Map
 
 	mutex   sync.Mutex
@@ -143,7 +145,7 @@
 	return registry
 }
 
-// Class returns the measures of a class, which are kept for as long as the process runs.
+// Class returns the metrics of a class, and creates them on the first call. They are kept until the process ends.
 func (registry *Registry) Class(key ClassKey) *Class {
 	registry.mutex.Lock()
 	defer registry.mutex.Unlock()
--- a/internal/metrics/view.go
+++ b/internal/metrics/view.go
@@ -5,7 +5,7 @@
 	"expvar"
 )
 
-// ClassView is what an operator reads of one class.
+// ClassView has the metrics of one class for operators.
 type ClassView struct {
 	Outcomes        map[string]int64 `json:"outcomes"`
 	Retries         int64            `json:"retries"`
@@ -15,13 +15,13 @@
 	AttemptDuration Quantiles        `json:"attempt"`
 }
 
-// View is what an operator reads of an instance: events by name, and classes as "tenant/service/class".
+// View has the metrics of an instance for operators: events by name, and classes by "tenant/service/class".
 type View struct {
 	Events  map[string]int64     `json:"events"`
 	Classes map[string]ClassView `json:"classes"`
 }
 
-// View reads everything.
+// View returns the current values of all metrics.
 func (registry *Registry) View() View {
 	view := View{Events: counters(&registry.Events), Classes: map[string]ClassView{}}
 	for key, class := range registry.snapshot() {
@@ -43,7 +43,7 @@
 	return string(text)
 }
 
-// String writes the key as "tenant/service/class".
+// String returns the key as "tenant/service/class".
 func (key ClassKey) String() string {
 	return key.Tenant + "/" + string(key.Service) + "/" + string(key.Class)
 }
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -1,4 +1,5 @@
-// Package operator answers operators over HTTP: metrics, status, and the story of one request. It changes nothing.
+// Package operator is the read-only HTTP interface for operators: metrics, status, readiness, and the traces of single
+// requests.
 //
 // # Usage
 //
@@ -22,7 +23,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Paths of the operator's interface.
+// Paths of the operators' interface.
 const (
 	StatusPath  = "/v1/status"
 	ReadyPath   = "/v1/ready"
@@ -30,25 +31,25 @@
 	MetricsPath = "/debug/vars"
 )
 
-// statusTimeout is how long the control goroutine may take to answer.
+// statusTimeout is how long the control goroutine may take to return the status.
 const statusTimeout = 2 * clock.Second
 
-// Status is what an instance says of itself.
+// Status is an instance's state.
 type Status struct {
 	Ready   bool
 	Leaving bool
-	// Detail is all that operators read, written as JSON.
+	// Detail is the whole state, which is encoded as JSON.
 	Detail any
 }
 
-// Options are what the handler reads from.
+// Options has the sources of the handler.
 type Options struct {
 	Status   func(context.Context) (Status, error)
 	Registry *metrics.Registry
 	Traces   *trace.Ring
 }
 
-// NewHandler returns the operator's interface.
+// NewHandler returns the handler of the operators' interface.
 func NewHandler(options Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+MetricsPath, options.serveMetrics)
@@ -61,8 +62,8 @@
 	return mux
 }
 
-// serveMetrics writes what expvar's own handler does, with this instance's measures added. Several instances in one
-// process could not all publish under one name.
+// serveMetrics writes the same as expvar's own handler, and adds this instance's metrics. They are not published through
+// expvar itself because several instances in one process could not share one name.
 func (options Options) serveMetrics(writer http.ResponseWriter, _ *http.Request) {
 	var text bytes.Buffer
 	text.WriteString("{\n")
@@ -89,7 +90,7 @@
 	return options.Status(ctx)
 }
 
-// serveReady answers 200 once there are settings and while the instance is not leaving.
+// serveReady responds with 200 if there are settings and the instance is not leaving, and with 503 otherwise.
 func (options Options) serveReady(writer http.ResponseWriter, request *http.Request) {
 	status, err := options.readStatus(request.Context())
 	if err != nil || !status.Ready || status.Leaving {
@@ -101,12 +102,12 @@
 
 func (options Options) serveExplain(writer http.ResponseWriter, request *http.Request) {
 	id := request.URL.Query().Get("id")
-	story, found := options.Traces.Find(trace.RequestID(id))
+	requestTrace, found := options.Traces.Find(trace.RequestID(id))
 	if !found {
-		http.Error(writer, "no request "+strconv.Quote(id)+" among the latest at this instance", http.StatusNotFound)
+		http.Error(writer, "no request "+strconv.Quote(id)+" among this instance's most recent requests", http.StatusNotFound)
 		return
 	}
-	writeJSON(writer, story)
+	writeJSON(writer, requestTrace)
 }
 
 func writeJSON(writer http.ResponseWriter, value any) {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,10 +1,10 @@
-// Package supervisor builds the tree of an instance's parts. A component that fails or panics is started again by itself,
-// and its failure is counted and logged; the other parts go on.
+// Package supervisor builds the supervision tree of an instance's components. A component that returns or panics is
+// restarted, and its failure is counted and logged; the other components are not affected.
 //
 // # Usage
 //
 //	root := supervisor.New("entry", supervisor.Options{Log: log, Events: events})
-//	root.Add(supervisor.Part{Name: "control", Serve: controller.Serve})
+//	root.Add(supervisor.Component{Name: "control", Serve: controller.Serve})
 //	err := root.Serve(ctx)
 package supervisor
 
@@ -17,38 +17,38 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// EventRestart counts the parts that ended or panicked and were started again.
+// EventRestart counts restarts of components that returned or panicked.
 const EventRestart = "supervisor.restarts"
 
-// Restarts come at once until there have been this many within failureDecaySeconds; then they pause for failureBackoff,
-// so that a component which fails at every start does not take all processor time.
+// Components are restarted immediately until there have been failureThreshold failures within failureDecaySeconds. Then
+// restarts pause for failureBackoff, so that a component that fails at every start does not use all CPU time.
 const (
 	failureThreshold    = 5
 	failureDecaySeconds = 10
 	failureBackoff      = time.Second
-	// stopTimeout is how long a component may take to end after its context has.
+	// stopTimeout is how long a component may take to return after its context has ended.
 	stopTimeout = 5 * time.Second
 )
 
-// Component is one branch of the tree.
+// Component is a leaf of the supervision tree.
 type Component struct {
 	Name string
-	// Serve runs until its context ends; when it returns earlier it is started again.
+	// Serve runs until its context ends. If it returns earlier, it is called again.
 	Serve func(context.Context) error
 }
 
-// Options are what a tree is made from.
+// Options configures a Tree.
 type Options struct {
 	Log    zerolog.Logger
 	Events *expvar.Map
 }
 
-// Tree starts its parts again when they fail.
+// Tree supervises components and restarts them when they fail.
 type Tree struct {
 	root *suture.Supervisor
 }
 
-// New returns a tree without parts.
+// New returns a tree without components.
 func New(name string, options Options) *Tree {
 	spec := suture.Spec{
 		FailureThreshold: failureThreshold,
@@ -64,7 +64,7 @@
 	switch event.Type() {
 	case suture.EventTypeServicePanic, suture.EventTypeServiceTerminate:
 		options.Events.Add(EventRestart, 1)
-		options.Log.Error().Str("event", event.String()).Msg("a component ended and is started again")
+		options.Log.Error().Str("event", event.String()).Msg("a component ended and is restarted")
 	case suture.EventTypeStopTimeout:
 		options.Log.Error().Str("event", event.String()).Msg("a component did not stop in time")
 	case suture.EventTypeBackoff, suture.EventTypeResume:
@@ -77,17 +77,17 @@
 	tree.root.Add(service{component: component})
 }
 
-// AddTree adds a branch that has parts of its own.
-func (tree *Tree) AddTree(branch *Tree) {
-	tree.root.Add(branch.root)
+// AddTree adds a subtree.
+func (tree *Tree) AddTree(subtree *Tree) {
+	tree.root.Add(subtree.root)
 }
 
-// Serve runs all parts until the context ends.
+// Serve runs all components until the context ends, and returns the context's error.
 func (tree *Tree) Serve(ctx context.Context) error {
 	return tree.root.Serve(ctx)
 }
 
-// service shows a component to the library.
+// service adapts a component to suture.Service.
 type service struct {
 	component Component
 }
@@ -97,7 +97,7 @@
 	return service.component.Serve(ctx)
 }
 
-// String names the component in events.
+// String returns the component's name, which suture uses in events.
 func (service service) String() string {
 	return service.component.Name
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One part panics and another ends with an error. Each is started again by itself; the part beside them is not
-// disturbed, so that a fault in control costs traffic nothing.
+// Guards against a fault in a control component that interrupts traffic: a component that panics and one that returns an
+// error must each be restarted alone, while the component next to them keeps running.
 func TestPartsRestartAlone(t *testing.T) {
 	events := (&expvar.Map{}).Init()
 	options := Options{Log: zerolog.Nop(), Events: events}
