--- a/internal/metrics/view.go
+++ b/internal/metrics/view.go
@@ -5,30 +5,30 @@
 	"expvar"
 )
 
-// ClassView is what an operator reads of one class.
+// ClassView has the metrics of one class for operators.
 type ClassView struct {
-	Outcomes map[string]int64 `json:"outcomes"`
-	Retries  int64            `json:"retries"`
-	Whole    Quantiles        `json:"whole"`
-	Added    Quantiles        `json:"added"`
-	Queued   Quantiles        `json:"queued"`
-	Attempt  Quantiles        `json:"attempt"`
+	Outcomes        map[string]int64 `json:"outcomes"`
+	Retries         int64            `json:"retries"`
+	Duration        Quantiles        `json:"whole"`
+	Overhead        Quantiles        `json:"added"`
+	QueueWait       Quantiles        `json:"queued"`
+	AttemptDuration Quantiles        `json:"attempt"`
 }
 
-// View is what an operator reads of an instance: events by name, and classes as "tenant/service/class".
+// View has the metrics of an instance for operators: events by name, and classes by "tenant/service/class".
 type View struct {
 	Events  map[string]int64     `json:"events"`
 	Classes map[string]ClassView `json:"classes"`
 }
 
-// View reads everything.
+// View returns the current values of all metrics.
 func (registry *Registry) View() View {
 	view := View{Events: counters(&registry.Events), Classes: map[string]ClassView{}}
 	for key, class := range registry.snapshot() {
 		view.Classes[key.String()] = ClassView{
 			Outcomes: counters(&class.outcomes), Retries: class.retries.Value(),
-			Whole: class.Whole.Quantiles(), Added: class.Added.Quantiles(),
-			Queued: class.Queued.Quantiles(), Attempt: class.Attempt.Quantiles(),
+			Duration: class.Duration.Quantiles(), Overhead: class.Overhead.Quantiles(),
+			QueueWait: class.QueueWait.Quantiles(), AttemptDuration: class.AttemptDuration.Quantiles(),
 		}
 	}
 	return view
@@ -43,7 +43,7 @@
 	return string(text)
 }
 
-// String writes the key as "tenant/service/class".
+// String returns the key as "tenant/service/class".
 func (key ClassKey) String() string {
 	return key.Tenant + "/" + string(key.Service) + "/" + string(key.Class)
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One part panics and another ends with an error. Each is started again by itself; the part beside them is not
-// disturbed, so that a fault in control costs traffic nothing.
+// Guards against a fault in a control component that interrupts traffic: a component that panics and one that returns an
+// error must each be restarted alone, while the component next to them keeps running.
 func TestPartsRestartAlone(t *testing.T) {
 	events := (&expvar.Map{}).Init()
 	options := Options{Log: zerolog.Nop(), Events: events}
 	root := New("root", options)
 	control := New("control", options)
 	starts := make(chan string, 100)
-	failOnce := func(name string, fail func() error) Part {
+	failOnce := func(name string, fail func() error) Component {
 		first := true
-		return Part{Name: name, Serve: func(ctx context.Context) error {
+		return Component{Name: name, Serve: func(ctx context.Context) error {
 			starts <- name
 			if first {
 				first = false
@@ -33,7 +33,7 @@
 	control.Add(failOnce("panics", func() error { panic("on purpose") }))
 	control.Add(failOnce("ends", func() error { return errors.New("on purpose") }))
 	root.AddTree(control)
-	root.Add(Part{Name: "steady", Serve: func(ctx context.Context) error {
+	root.Add(Component{Name: "steady", Serve: func(ctx context.Context) error {
 		starts <- "steady"
 		<-ctx.Done()
 		return ctx.Err()
