--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -118,8 +118,8 @@
 					return
 				}
 				target := model.targets[permit.Target.Name]
-				utilization, available := target.utilization()
-				require.True(t, available)
+				utilization, accepts := target.utilization()
+				require.True(t, accepts)
 				require.LessOrEqual(t, utilization, minimum+1.0/bucketCount)
 				target.ownInFlight++
 				require.LessOrEqual(t, target.ownInFlight, target.limit.MaxOwnInFlight)
