--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -200,8 +200,8 @@
 }
 
 // applyPeerTargets updates the targets from a peer's heartbeat. The phase reported by an owner is accepted unless this
-// instance owns the target itself. Other peers' reports are accepted only during the learning period, for targets that were
-// present at the start of this instance.
+// instance owns the target itself. Other peers' reports are accepted only during the learning period, for targets of unknown
+// phase that were present at the start of this instance.
 func (controller *Controller) applyPeerTargets(news []instance.TargetNews) {
 	if len(news) == 0 {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -178,7 +178,7 @@
 		OnRequestDone: newRequestLog(gateway.options.Log, gateway.clock, &gateway.registry.Events).write,
 	})
 	events := &gateway.registry.Events
-	wanted := []struct {
+	serverConfigs := []struct {
 		name    string
 		address string
 		server  *http.Server
@@ -190,12 +190,12 @@
 		{"peers", gatewaySettings.PeerAddress, newShortRequestServer(http.HandlerFunc(gateway.serveCatalog)), httppart.Listen},
 		{"operators", gatewaySettings.OperatorAddress, newShortRequestServer(gateway.operatorHandler()), httppart.Listen},
 	}
-	for _, entry := range wanted {
-		server, err := httppart.New(entry.server, entry.address, entry.listen)
+	for _, config := range serverConfigs {
+		server, err := httppart.New(config.server, config.address, config.listen)
 		if err != nil {
-			return errors.Wrapf(err, "listen for %s", entry.name)
+			return errors.Wrapf(err, "listen for %s", config.name)
 		}
-		gateway.httpServers = append(gateway.httpServers, namedServer{name: entry.name, Server: server})
+		gateway.httpServers = append(gateway.httpServers, namedServer{name: config.name, Server: server})
 	}
 	gateway.callerServer = gateway.httpServers[0].Server
 	return nil
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -27,8 +27,9 @@
 	clock  *clock.Clock
 	events *expvar.Map
 
-	mutex             sync.Mutex
-	second            clock.Moment
+	mutex sync.Mutex
+	// windowStart is the start of the current second, in which unusual and ordinary more lines may be logged.
+	windowStart       clock.Moment
 	unusual, ordinary int
 }
 
@@ -83,8 +84,8 @@
 	now := requestLog.clock.Now()
 	requestLog.mutex.Lock()
 	defer requestLog.mutex.Unlock()
-	if now.Since(requestLog.second) >= clock.Second {
-		requestLog.second = now
+	if now.Since(requestLog.windowStart) >= clock.Second {
+		requestLog.windowStart = now
 		requestLog.unusual = unusualPerSecond
 		requestLog.ordinary = ordinaryPerSecond
 	}
