--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -169,7 +169,7 @@
 		Targets: map[settings.ServiceName]int{name: exampleTargets[compareCommand.Site][name]},
 		Server: func(settings.ServiceName) backendservertest.Options {
 			return backendservertest.Options{
-				ServiceTime: backendservertest.Lognormal(compareCommand.ServiceTime, serviceSigma), QueueMost: 1000,
+				ServiceTime: backendservertest.Lognormal(compareCommand.ServiceTime, serviceSigma), MaxQueued: 1000,
 			}
 		},
 	})
@@ -195,10 +195,10 @@
 			counts := server.Counts()
 			sum.Runs += counts.Runs
 			sum.Reports += counts.Reports
-			sum.InFlightMost = max(sum.InFlightMost, counts.InFlightMost)
-			sum.ConnectionsMost = max(sum.ConnectionsMost, counts.ConnectionsMost)
+			sum.MaxInFlight = max(sum.MaxInFlight, counts.MaxInFlight)
+			sum.MaxConnections = max(sum.MaxConnections, counts.MaxConnections)
 		}
-		fmt.Fprintf(out, "%s: %d, %d, %d, %d\n", policies[index].text, sum.Runs, sum.Reports, sum.InFlightMost, sum.ConnectionsMost)
+		fmt.Fprintf(out, "%s: %d, %d, %d, %d\n", policies[index].text, sum.Runs, sum.Reports, sum.MaxInFlight, sum.MaxConnections)
 	}
 	return nil
 }
--- a/internal/backendserver/errors.go
+++ b/internal/backendserver/errors.go
@@ -13,14 +13,14 @@
 
 // The steps of an exchange.
 const (
-	StepConnect Step = "connect"
-	StepWrite   Step = "write"
-	StepAnswer  Step = "answer"
-	StepReport  Step = "report"
+	StepConnect  Step = "connect"
+	StepWrite    Step = "write"
+	StepResponse Step = "answer"
+	StepReport   Step = "report"
 )
 
-// ErrConnectionsUsed says that every connection agreed for the target is in use.
-var ErrConnectionsUsed = errors.New("every agreed connection is in use")
+// ErrConnectionLimitReached says that every connection agreed for the target is in use.
+var ErrConnectionLimitReached = errors.New("every agreed connection is in use")
 
 // ErrUnknownTarget says that the target is not, or no longer, known.
 var ErrUnknownTarget = errors.New("unknown target")
--- a/internal/backendserver/moved_test.go
+++ b/internal/backendserver/moved_test.go
@@ -43,9 +43,9 @@
 		return string(text)
 	}
 	require.Equal(t, "old", ask(func() {
-		servers.Set(target, Options{Address: present, ConnectionsMost: 4, Connections: connectionSettings()})
+		servers.Set(target, Options{Address: present, MaxConnections: 4, Connections: connectionSettings()})
 		close(moved)
 	}))
 	require.Equal(t, "new", ask(func() {}))
-	require.Equal(t, 1, servers.Open(target))
+	require.Equal(t, 1, servers.OpenConnections(target))
 }
--- a/internal/backendserver/pool.go
+++ b/internal/backendserver/pool.go
@@ -17,8 +17,8 @@
 type Options struct {
 	// Address is its IP number and port.
 	Address string
-	// ConnectionsMost is this instance's share of the agreed number of connections.
-	ConnectionsMost int
+	// MaxConnections is this instance's share of the agreed number of connections.
+	MaxConnections int
 	// Connections are the service's settings.
 	Connections settings.Connections
 }
@@ -84,13 +84,13 @@
 			// It may still serve a request that can be sent again.
 		}
 	}
-	if pool.open >= pool.options.ConnectionsMost && len(pool.idle) > 0 {
+	if pool.open >= pool.options.MaxConnections && len(pool.idle) > 0 {
 		// All that are idle are stale; the oldest makes room.
 		pool.closeLocked(pool.idle[0])
 		pool.idle = slices.Delete(pool.idle, 0, 1)
 	}
-	if pool.open >= pool.options.ConnectionsMost {
-		return Options{}, nil, ErrConnectionsUsed
+	if pool.open >= pool.options.MaxConnections {
+		return Options{}, nil, ErrConnectionLimitReached
 	}
 	pool.open++
 	return pool.options, nil, nil
@@ -134,7 +134,7 @@
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	outdated := pool.closed || connection.address != pool.options.Address
-	if !reusable || outdated || connection.client.Err() != nil || pool.open > pool.options.ConnectionsMost {
+	if !reusable || outdated || connection.client.Err() != nil || pool.open > pool.options.MaxConnections {
 		pool.closeLocked(connection)
 		return
 	}
--- a/internal/backendserver/report.go
+++ b/internal/backendserver/report.go
@@ -19,8 +19,8 @@
 // reportTimeout bounds the reading of a load report.
 const reportTimeout = clock.Second
 
-// ErrReport says that a load report makes no sense.
-var ErrReport = errors.New("load report not understood")
+// ErrInvalidReport says that a load report makes no sense.
+var ErrInvalidReport = errors.New("load report not understood")
 
 // Report is what a backend server tells of itself. It is always late and may be wrong.
 type Report struct {
@@ -61,16 +61,16 @@
 func parseReport(status int, text []byte) (Report, error) {
 	var report Report
 	if status != http.StatusOK {
-		return Report{}, errors.Wrapf(ErrReport, "status %d", status)
+		return Report{}, errors.Wrapf(ErrInvalidReport, "status %d", status)
 	}
 	if len(text) > reportMost {
-		return Report{}, errors.Wrapf(ErrReport, "more than %d bytes", reportMost)
+		return Report{}, errors.Wrapf(ErrInvalidReport, "more than %d bytes", reportMost)
 	}
 	if err := json.Unmarshal(text, &report); err != nil {
-		return Report{}, errors.Wrapf(ErrReport, "load report: %v", err)
+		return Report{}, errors.Wrapf(ErrInvalidReport, "load report: %v", err)
 	}
 	if report.InFlight < 0 || report.Queued < 0 || report.StartedMs < 0 {
-		return Report{}, errors.Wrap(ErrReport, "a number below zero")
+		return Report{}, errors.Wrap(ErrInvalidReport, "a number below zero")
 	}
 	return report, nil
 }
--- a/internal/backendserver/servers.go
+++ b/internal/backendserver/servers.go
@@ -57,8 +57,8 @@
 	servers.pools.Clear()
 }
 
-// Open returns the number of connections open to a backend server.
-func (servers *Servers) Open(target settings.TargetName) int {
+// OpenConnections returns the number of connections open to a backend server.
+func (servers *Servers) OpenConnections(target settings.TargetName) int {
 	found, known := servers.pools.Load(target)
 	if !known {
 		return 0
@@ -118,7 +118,7 @@
 
 func stepOf(written bool) Step {
 	if written {
-		return StepAnswer
+		return StepResponse
 	}
 	return StepWrite
 }
@@ -132,8 +132,8 @@
 	return count, err
 }
 
-// Whole reports whether the answer was read to its end.
-func (exchange *Exchange) Whole() bool {
+// FullyRead reports whether the answer was read to its end.
+func (exchange *Exchange) FullyRead() bool {
 	return exchange.whole
 }
 
--- a/internal/backendserver/servers_test.go
+++ b/internal/backendserver/servers_test.go
@@ -66,7 +66,7 @@
 func newServers(t testing.TB, clock *clock.Clock, address string, most int) *Servers {
 	servers := NewServers(clock)
 	t.Cleanup(servers.Close)
-	servers.Set(target, Options{Address: address, ConnectionsMost: most, Connections: connectionSettings()})
+	servers.Set(target, Options{Address: address, MaxConnections: most, Connections: connectionSettings()})
 	return servers
 }
 
@@ -159,7 +159,7 @@
 	var failure *Error
 	require.ErrorAs(t, err, &failure)
 	require.True(t, failure.Reused)
-	require.Zero(t, servers.Open(target), "its place among the agreed connections is free again")
+	require.Zero(t, servers.OpenConnections(target), "its place among the agreed connections is free again")
 }
 
 // Many requests at once never open more connections than were agreed; those for which there is none are told that they
@@ -190,7 +190,7 @@
 	refused := 0
 	for range 20 - agreed {
 		err := <-results
-		require.ErrorIs(t, err, ErrConnectionsUsed)
+		require.ErrorIs(t, err, ErrConnectionLimitReached)
 		require.True(t, IsErrNotWritten(err))
 		refused++
 	}
@@ -263,7 +263,7 @@
 		require.NoError(t, err)
 		require.Equal(t, id[:3], string(half))
 		exchange.Close()
-		require.Zero(t, servers.Open(target))
+		require.Zero(t, servers.OpenConnections(target))
 	}
 }
 
@@ -281,10 +281,10 @@
 	servers := newServers(t, &clock.Clock{Now: func() clock.Moment { return clock.Moment(now.Load()) }}, address, 2)
 	require.NoError(t, exchangeAll(servers, newPost(t, address), true))
 	servers.CloseIdle()
-	require.Equal(t, 1, servers.Open(target))
+	require.Equal(t, 1, servers.OpenConnections(target))
 	now.Add(int64(31 * clock.Second))
 	servers.CloseIdle()
-	require.Zero(t, servers.Open(target))
+	require.Zero(t, servers.OpenConnections(target))
 	servers.Remove(target)
 	require.ErrorIs(t, exchangeAll(servers, newPost(t, address), true), ErrUnknownTarget)
 }
@@ -324,7 +324,7 @@
 	f.Fuzz(func(t *testing.T, status int, text []byte) {
 		report, err := parseReport(status, text)
 		if err != nil {
-			require.ErrorIs(t, err, ErrReport)
+			require.ErrorIs(t, err, ErrInvalidReport)
 			return
 		}
 		require.GreaterOrEqual(t, report.InFlight, 0)
--- a/internal/backendservertest/server.go
+++ b/internal/backendservertest/server.go
@@ -53,30 +53,30 @@
 type Options struct {
 	Name  string
 	Slots int
-	// QueueMost is how many requests wait for a slot before others are refused; 0 stands for 100.
-	QueueMost int
+	// MaxQueued is how many requests wait for a slot before others are refused; 0 stands for 100.
+	MaxQueued int
 	// ServiceTime draws how long a request runs; nil stands for no time at all.
 	ServiceTime func(*rand.Rand) clock.Milliseconds
-	// ColdPlaces is how many requests it bears when it has just started, and FullAfter when it bears all.
-	ColdPlaces int
-	FullAfter  clock.Milliseconds
-	Seed       uint64
+	// ColdLimit is how many requests it bears when it has just started, and FullAfter when it bears all.
+	ColdLimit      int
+	WarmupDuration clock.Milliseconds
+	Seed           uint64
 	// Run, when set, is called in the slot in place of waiting for ServiceTime.
 	Run func(*http.Request)
 }
 
 // Behaviour is how a stand-in departs from working well.
 type Behaviour struct {
-	// SlowBy multiplies the service time; 0 stands for 1.
-	SlowBy float64
+	// SlowdownFactor multiplies the service time; 0 stands for 1.
+	SlowdownFactor float64
 	// FailFast answers 500 at once.
 	FailFast bool
 	// Draining refuses every request as not run.
 	Draining bool
 	// ReportFrozen repeats the report that was made first after it was set.
 	ReportFrozen bool
-	// ReportFalse reports no load whatever there is.
-	ReportFalse bool
+	// ReportZeroLoad reports no load whatever there is.
+	ReportZeroLoad bool
 }
 
 // Server is the stand-in. It is safe for concurrent use.
@@ -109,8 +109,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "stand-in of a backend server")
 	}
-	if options.QueueMost == 0 {
-		options.QueueMost = 100
+	if options.MaxQueued == 0 {
+		options.MaxQueued = 100
 	}
 	server := &Server{
 		options: options, listener: listener, slots: make(chan struct{}, options.Slots),
@@ -150,8 +150,8 @@
 	server.frozen = nil
 }
 
-// TurnCold makes it cold, as after a restart under the same address.
-func (server *Server) TurnCold() {
+// ResetColdStart makes it cold, as after a restart under the same address.
+func (server *Server) ResetColdStart() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.started = time.Now()
@@ -166,14 +166,14 @@
 
 // Counts are what the stand-in has counted.
 type Counts struct {
-	Runs, InFlight, InFlightMost, Overruns, Reports, ConnectionsMost int64
+	Runs, InFlight, MaxInFlight, Overloads, Reports, MaxConnections int64
 }
 
 // Counts returns what it has counted so far.
 func (server *Server) Counts() Counts {
 	return Counts{
-		Runs: server.runs.Load(), InFlight: server.inFlight.Load(), InFlightMost: server.mostIn.Load(),
-		Overruns: server.overruns.Load(), Reports: server.reports.Load(), ConnectionsMost: server.mostOpen.Load(),
+		Runs: server.runs.Load(), InFlight: server.inFlight.Load(), MaxInFlight: server.mostIn.Load(),
+		Overloads: server.overruns.Load(), Reports: server.reports.Load(), MaxConnections: server.mostOpen.Load(),
 	}
 }
 
@@ -252,7 +252,7 @@
 	default:
 	}
 	defer server.queued.Add(-1)
-	if server.queued.Add(1) > int64(server.options.QueueMost) {
+	if server.queued.Add(1) > int64(server.options.MaxQueued) {
 		return false
 	}
 	select {
@@ -270,8 +270,8 @@
 	raise(&server.mostIn, inFlight)
 	server.runs.Add(1)
 	length := server.countRun(request.Header.Get(KeyHeader))
-	if behaviour.SlowBy > 0 {
-		length *= clock.Milliseconds(behaviour.SlowBy)
+	if behaviour.SlowdownFactor > 0 {
+		length *= clock.Milliseconds(behaviour.SlowdownFactor)
 	}
 	if inFlight+server.queued.Load() > int64(server.bears()) {
 		server.overruns.Add(1)
@@ -307,11 +307,11 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	age := clock.Of(time.Since(server.started))
-	if server.options.ColdPlaces == 0 || age >= server.options.FullAfter {
+	if server.options.ColdLimit == 0 || age >= server.options.WarmupDuration {
 		return math.MaxInt
 	}
-	grown := float64(server.options.Slots-server.options.ColdPlaces) * float64(age/server.options.FullAfter)
-	return server.options.ColdPlaces + int(grown)
+	grown := float64(server.options.Slots-server.options.ColdLimit) * float64(age/server.options.WarmupDuration)
+	return server.options.ColdLimit + int(grown)
 }
 
 func (server *Server) answer(writer http.ResponseWriter, request *http.Request) {
@@ -357,7 +357,7 @@
 		StartedMs: server.started.UnixMilli(), InFlight: int(server.inFlight.Load()), Queued: int(server.queued.Load()),
 		Draining: server.behaviour.Draining,
 	}
-	if server.behaviour.ReportFalse {
+	if server.behaviour.ReportZeroLoad {
 		report.InFlight, report.Queued = 0, 0
 	}
 	if server.behaviour.ReportFrozen {
--- a/internal/caller/attempt.go
+++ b/internal/caller/attempt.go
@@ -93,7 +93,7 @@
 func (call *call) failureResult(ctx context.Context, attempt *attempt) service.Result {
 	switch {
 	case attempt.budgetExempt,
-		errors.Is(attempt.err, backendserver.ErrConnectionsUsed),
+		errors.Is(attempt.err, backendserver.ErrConnectionLimitReached),
 		errors.Is(attempt.err, backendserver.ErrUnknownTarget),
 		errors.Is(ctx.Err(), context.Canceled),
 		call.body.readError() != nil:
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -74,7 +74,7 @@
 		name := settings.TargetName(address)
 		dispatcher.Add(name, address, "sofia-1")
 		dispatcher.SetLimit(name, service.TargetLimit{Limit: 2, MinShare: 2, MaxOwnInFlight: 2}, 0)
-		servers.Set(name, backendserver.Options{Address: address, ConnectionsMost: 2, Connections: serviceSettings.Connections})
+		servers.Set(name, backendserver.Options{Address: address, MaxConnections: 2, Connections: serviceSettings.Connections})
 	}
 	fixture.table = routing.NewTable(routing.Options{
 		Site:     &settings.Site{Revision: 7, Tenant: "rodopa", Fleet: settings.Fleet{AnswerKept: 5 * 1000}},
--- a/internal/caller/response.go
+++ b/internal/caller/response.go
@@ -68,7 +68,7 @@
 	status := exchange.Response.StatusCode
 	call.writeResponseHeader(exchange)
 	call.permit.TransferredBytes = call.body.bytesRead() + len(attempt.buffered)
-	if exchange.Whole() {
+	if exchange.FullyRead() {
 		// The response has been read completely, so the permit need not be held until it is forwarded.
 		exchange.Close()
 		call.release(resultOf(status, nil))
@@ -140,7 +140,7 @@
 			return errors.Join(errCallerWrite, err)
 		}
 	}
-	if exchange.Whole() {
+	if exchange.FullyRead() {
 		call.copyTrailers(exchange.Response)
 		return nil
 	}
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -69,7 +69,7 @@
 	services        map[settings.ServiceName]*serviceState
 	pendingServices map[settings.ServiceName]*settings.Service
 	problems        map[string]string
-	list            platform.List
+	list            platform.InstanceList
 	peers           map[settings.InstanceName]*peerState
 	eligible        []routing.Instance
 	// firstHeartbeat is when the first heartbeat of any peer was received, or 0.
@@ -139,7 +139,7 @@
 }
 
 // ListRead passes on a list of instances. It blocks while the queue is full, and returns an error if the context ends.
-func (controller *Controller) ListRead(ctx context.Context, list platform.List) error {
+func (controller *Controller) ListRead(ctx context.Context, list platform.InstanceList) error {
 	return controller.post(ctx, listRead{list: list})
 }
 
--- a/internal/control/controller_bench_test.go
+++ b/internal/control/controller_bench_test.go
@@ -37,7 +37,7 @@
 		Servers: backendserver.NewServers(&manual.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 		Send: send, RequestReport: func(ReportRequest) bool { return true },
 	})
-	list := platform.List{}
+	list := platform.InstanceList{}
 	for number := range peers + 1 {
 		list.Instances = append(list.Instances, platform.Instance{
 			Name: fmt.Sprintf("entry-%d", number), Kind: platform.KindEntry, State: platform.StateLive, DataCentre: dataCentreOf(number),
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -25,7 +25,7 @@
 	t       *testing.T
 	manual  *clock.Manual
 	site    *settings.Site
-	list    platform.List
+	list    platform.InstanceList
 	members map[settings.InstanceName]*Controller
 	// isLost reports whether a datagram between two members is lost.
 	isLost func(from, to settings.InstanceName) bool
@@ -101,7 +101,7 @@
 
 func (fleet *fleet) sendList() {
 	for _, controller := range fleet.members {
-		listRead{list: platform.List{Instances: slices.Clone(fleet.list.Instances)}}.apply(controller)
+		listRead{list: platform.InstanceList{Instances: slices.Clone(fleet.list.Instances)}}.apply(controller)
 	}
 }
 
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -20,7 +20,7 @@
 
 // listRead is a list of instances that was read from the platform.
 type listRead struct {
-	list platform.List
+	list platform.InstanceList
 }
 
 // heartbeatReceived is a heartbeat from a peer.
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -202,12 +202,12 @@
 // applyPeerTargets updates the targets from a peer's heartbeat. The phase reported by an owner is accepted unless this
 // instance owns the target itself. Other peers' reports are accepted only during the learning period, for targets that were
 // present at the start of this instance.
-func (controller *Controller) applyPeerTargets(news []instance.TargetNews) {
+func (controller *Controller) applyPeerTargets(news []instance.TargetStatus) {
 	if len(news) == 0 {
 		return
 	}
 	now := controller.options.Clock.Now()
-	reported := make(map[instance.TargetKey]instance.TargetNews, len(news))
+	reported := make(map[instance.TargetKey]instance.TargetStatus, len(news))
 	for _, entry := range news {
 		reported[entry.Target] = entry
 	}
@@ -221,7 +221,7 @@
 	}
 }
 
-func (controller *Controller) applyPeerTarget(now clock.Moment, target *targetState, entry instance.TargetNews) {
+func (controller *Controller) applyPeerTarget(now clock.Moment, target *targetState, entry instance.TargetStatus) {
 	switch {
 	case entry.Owned && !target.owned && entry.Warm:
 		target.phase = phaseWarm
@@ -264,7 +264,7 @@
 
 // targetsToSend selects the targets that the next heartbeat reports: first those that have just changed, then the others in
 // turn. An instance reports only targets of the services that it serves.
-func (controller *Controller) targetsToSend(now clock.Moment) []instance.TargetNews {
+func (controller *Controller) targetsToSend(now clock.Moment) []instance.TargetStatus {
 	known := map[instance.TargetKey]*targetState{}
 	for _, state := range controller.services {
 		if !controller.isServing(state) {
@@ -282,7 +282,7 @@
 	news := heartbeat.takePriority(known)
 	maxTargets := unchangedTargetsPerHeartbeat
 	if now < heartbeat.fullUntil {
-		maxTargets = instance.TargetsMost
+		maxTargets = instance.MaxTargets
 	}
 	for len(news) < maxTargets && heartbeat.cursor < len(heartbeat.order) {
 		news = appendTarget(news, known, heartbeat.order[heartbeat.cursor])
@@ -292,12 +292,12 @@
 }
 
 // takePriority removes from the priority list and returns the targets for one heartbeat, each at most once.
-func (heartbeatState *heartbeatState) takePriority(known map[instance.TargetKey]*targetState) []instance.TargetNews {
-	var news []instance.TargetNews
+func (heartbeatState *heartbeatState) takePriority(known map[instance.TargetKey]*targetState) []instance.TargetStatus {
+	var news []instance.TargetStatus
 	var later []instance.TargetKey
 	added := map[instance.TargetKey]bool{}
 	for _, key := range heartbeatState.priority {
-		if added[key] || len(news) == instance.TargetsMost {
+		if added[key] || len(news) == instance.MaxTargets {
 			later = append(later, key)
 			continue
 		}
@@ -309,12 +309,12 @@
 }
 
 // appendTarget appends a target's state, unless its phase is unknown.
-func appendTarget(news []instance.TargetNews, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetNews {
+func appendTarget(news []instance.TargetStatus, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetStatus {
 	target, found := known[key]
 	if !found || target.phase == phaseUnknown {
 		return news
 	}
-	return append(news, instance.TargetNews{Target: key, Warm: target.phase == phaseWarm, Owned: target.owned})
+	return append(news, instance.TargetStatus{Target: key, Warm: target.phase == phaseWarm, Owned: target.owned})
 }
 
 // digest hashes the revisions of all documents in force.
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -113,7 +113,7 @@
 		status.Serving = append(status.Serving, serving.Name)
 	}
 	for _, target := range targets {
-		entry := TargetStatus{TargetState: target, Connections: controller.options.Servers.Open(target.Name)}
+		entry := TargetStatus{TargetState: target, Connections: controller.options.Servers.OpenConnections(target.Name)}
 		if known, found := state.targets[target.Name]; found {
 			entry.Phase = string(known.phase)
 			entry.Owned = known.owned
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -85,9 +85,9 @@
 			controller.addTarget(state, name, record)
 		}
 		controller.options.Servers.Set(name, backendserver.Options{
-			Address:         record.Address,
-			ConnectionsMost: controller.connectionShare(state),
-			Connections:     state.settings.Connections,
+			Address:        record.Address,
+			MaxConnections: controller.connectionShare(state),
+			Connections:    state.settings.Connections,
 		})
 	}
 }
@@ -135,7 +135,7 @@
 
 // targetSyncDuration returns how long a peer needs to report all its targets to a new instance.
 func (controller *Controller) targetSyncDuration() clock.Milliseconds {
-	rounds := clock.Milliseconds(len(controller.list.Instances)/instance.TargetsMost + 3)
+	rounds := clock.Milliseconds(len(controller.list.Instances)/instance.MaxTargets + 3)
 	return controller.scaleByFleetSize(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatEvery))
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -54,7 +54,7 @@
 	registry   *metrics.Registry
 	servers    *backendserver.Servers
 	controller *control.Controller
-	plane      *instance.Plane
+	plane      *instance.HeartbeatTransport
 	handler    *caller.Handler
 	tree       *supervisor.Tree
 	control    *supervisor.Tree
@@ -85,7 +85,7 @@
 	random := rand.New(rand.NewPCG(entry.options.Seed, 0))
 	options := supervisor.Options{Log: entry.options.Log, Events: &entry.registry.Events}
 	var controller *control.Controller
-	plane, err := instance.NewPlane(instance.Options{
+	plane, err := instance.NewHeartbeatTransport(instance.Options{
 		Address: process.PeerAddress,
 		Keys:    process.Keys,
 		Deliver: func(heartbeat instance.Heartbeat) { controller.HeartbeatReceived(heartbeat) },
@@ -111,7 +111,7 @@
 	branch.Add(supervisor.Component{Name: "peers", Serve: plane.Serve})
 	branch.Add(supervisor.Component{Name: "reports", Serve: reporter.Serve})
 	branch.Add(supervisor.Component{Name: "configuration", Serve: platform.NewConfigurationWatcher(watch, controller.DocumentRead).Serve})
-	branch.Add(supervisor.Component{Name: "list", Serve: platform.NewListWatcher(watch, controller.ListRead).Serve})
+	branch.Add(supervisor.Component{Name: "list", Serve: platform.NewInstanceListWatcher(watch, controller.ListRead).Serve})
 	entry.controller = controller
 	entry.plane = plane
 	entry.control = branch
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -203,7 +203,7 @@
 	}
 	controller.knownServers[server.Name] = *server
 	controller.options.Servers.Set(server.Name, backendserver.Options{
-		Address: server.Address, ConnectionsMost: max(state.limits.MaxConnections/connectionShares, 4), Connections: connections,
+		Address: server.Address, MaxConnections: max(state.limits.MaxConnections/connectionShares, 4), Connections: connections,
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	controller   *fleet.Controller
 	reader       *catalog.Reader
 	prober       *sensing.Prober
-	datagrams    *instance.Datagrams
+	datagrams    *instance.Transport
 	traces       *trace.Ring
 	quota        *quota.Limiter
 	updates      updateCache
@@ -135,7 +135,7 @@
 		Send: gateway.servers.Send, Read: gateway.options.Platform.ReadProbe, Clock: gateway.clock, Events: events,
 		Deliver: func(result sensing.Result) { gateway.controller.RecordProbe(result) },
 	})
-	gateway.datagrams = instance.NewDatagrams(instance.DatagramOptions{
+	gateway.datagrams = instance.NewTransport(instance.TransportOptions{
 		Address: gatewaySettings.PeerAddress, Events: events, Deliver: func(datagram []byte) { gateway.controller.Receive(datagram) },
 	})
 	gateway.controller = fleet.NewController(fleet.Options{
--- a/internal/instance/datagrams.go
+++ b/internal/instance/datagrams.go
@@ -14,8 +14,8 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// DatagramOptions are what Datagrams are made from.
-type DatagramOptions struct {
+// TransportOptions are what Datagrams are made from.
+type TransportOptions struct {
 	// Address is where datagrams are taken, IP and port.
 	Address string
 	// Deliver takes each datagram, on the event loop's goroutine; it must not block, nor keep the bytes.
@@ -24,11 +24,11 @@
 	Events *expvar.Map
 }
 
-// Datagrams sends and takes datagrams on one port, whatever they hold.
-type Datagrams struct {
+// Transport sends and takes datagrams on one port, whatever they hold.
+type Transport struct {
 	gnet.BuiltinEventEngine
 
-	options DatagramOptions
+	options TransportOptions
 	booted  chan struct{}
 	once    sync.Once
 
@@ -36,14 +36,14 @@
 	sender net.PacketConn
 }
 
-// NewDatagrams returns a port that takes datagrams once Serve runs.
-func NewDatagrams(options DatagramOptions) *Datagrams {
-	return &Datagrams{options: options, booted: make(chan struct{})}
+// NewTransport returns a port that takes datagrams once Serve runs.
+func NewTransport(options TransportOptions) *Transport {
+	return &Transport{options: options, booted: make(chan struct{})}
 }
 
 // Serve takes datagrams until the context ends.
-func (datagrams *Datagrams) Serve(ctx context.Context) error {
-	engine := &engine{Datagrams: datagrams, up: make(chan gnet.Engine, 1)}
+func (datagrams *Transport) Serve(ctx context.Context) error {
+	engine := &engine{Transport: datagrams, up: make(chan gnet.Engine, 1)}
 	loop, endLoop := context.WithCancel(ctx)
 	stopping, endStopping := context.WithCancel(context.WithoutCancel(ctx))
 	defer endStopping()
@@ -70,7 +70,7 @@
 }
 
 // Address waits until datagrams are taken and returns where.
-func (datagrams *Datagrams) Address(ctx context.Context) (netip.AddrPort, error) {
+func (datagrams *Transport) Address(ctx context.Context) (netip.AddrPort, error) {
 	select {
 	case <-datagrams.booted:
 	case <-ctx.Done():
@@ -82,7 +82,7 @@
 }
 
 // Send sends a datagram. One that can't be sent is counted and forgotten, like one that is lost.
-func (datagrams *Datagrams) Send(peer netip.AddrPort, datagram []byte) {
+func (datagrams *Transport) Send(peer netip.AddrPort, datagram []byte) {
 	datagrams.mutex.Lock()
 	sender := datagrams.sender
 	datagrams.mutex.Unlock()
@@ -99,7 +99,7 @@
 
 // engine is one run of the event loop.
 type engine struct {
-	*Datagrams
+	*Transport
 	up chan gnet.Engine
 }
 
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -66,7 +66,7 @@
 func TestHeartbeatPassesWhole(t *testing.T) {
 	heartbeat := Heartbeat{
 		From: "entry-1", Incarnation: 1764720000000, Sequence: 9, Leaving: true, Digest: 1 << 63,
-		Targets: []TargetNews{{Target: 1 << 62, Warm: true}, {Target: 7, Owned: true}},
+		Targets: []TargetStatus{{Target: 1 << 62, Warm: true}, {Target: 7, Owned: true}},
 	}
 	text, err := encode(heartbeat)
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 
 func FuzzOpenAndDecode(f *testing.F) {
 	sealer := newSealer(f, "old", map[settings.KeyName]string{"old": oldKey})
-	text, err := encode(Heartbeat{From: "entry-1", Targets: []TargetNews{{Target: 1}}})
+	text, err := encode(Heartbeat{From: "entry-1", Targets: []TargetStatus{{Target: 1}}})
 	require.NoError(f, err)
 	f.Add(text)
 	f.Add([]byte{0x9f, 0xff})
@@ -87,18 +87,18 @@
 		require.ErrorIs(t, err, ErrSeal)
 		heartbeat, err := decode(message)
 		if err != nil {
-			require.ErrorIs(t, err, ErrMessage)
+			require.ErrorIs(t, err, ErrInvalidMessage)
 			return
 		}
 		require.NotEmpty(t, heartbeat.From)
-		require.LessOrEqual(t, len(heartbeat.Targets), TargetsMost)
+		require.LessOrEqual(t, len(heartbeat.Targets), MaxTargets)
 	})
 }
 
 // runPlane starts a plane on loopback.
-func runPlane(t *testing.T, deliver func(Heartbeat)) (*Plane, *expvar.Map) {
+func runPlane(t *testing.T, deliver func(Heartbeat)) (*HeartbeatTransport, *expvar.Map) {
 	events := (&expvar.Map{}).Init()
-	plane, err := NewPlane(Options{
+	plane, err := NewHeartbeatTransport(Options{
 		Address: "127.0.0.1:0", Keys: settings.Keys{SealWith: "old", Known: map[settings.KeyName]string{"old": oldKey}},
 		Deliver: deliver, Events: events,
 	})
@@ -134,7 +134,7 @@
 		sender.Send(address, Heartbeat{From: "entry-1", Sequence: Sequence(sequence + 1)})
 		require.EqualValues(t, sequence+1, (<-received).Sequence)
 	}
-	require.Equal(t, "2", events.Get(EventUnsealed).String())
+	require.Equal(t, "2", events.Get(EventNotSealed).String())
 	require.Equal(t, "1", events.Get(EventMalformed).String())
 	require.Equal(t, "3", events.Get(EventReceived).String())
 }
--- a/internal/instance/message.go
+++ b/internal/instance/message.go
@@ -7,11 +7,11 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// TargetsMost is the number of backend servers that one heartbeat speaks of; the others take their turn.
-const TargetsMost = 12
+// MaxTargets is the number of backend servers that one heartbeat speaks of; the others take their turn.
+const MaxTargets = 12
 
-// ErrMessage says that a datagram was sealed rightly but makes no sense.
-var ErrMessage = errors.New("message not understood")
+// ErrInvalidMessage says that a datagram was sealed rightly but makes no sense.
+var ErrInvalidMessage = errors.New("message not understood")
 
 // Incarnation tells one run of an instance from the next: the wall clock's milliseconds at its start.
 type Incarnation uint64
@@ -25,8 +25,8 @@
 // TargetKey stands for a backend server's name: a hash of it, since names would make up most of a datagram.
 type TargetKey uint64
 
-// TargetNews is what the sender knows of one backend server.
-type TargetNews struct {
+// TargetStatus is what the sender knows of one backend server.
+type TargetStatus struct {
 	_      struct{} `cbor:",toarray"`
 	Target TargetKey
 	// Warm says that it bears its full number of requests.
@@ -43,7 +43,7 @@
 	Sequence    Sequence
 	Leaving     bool
 	Digest      Digest
-	Targets     []TargetNews
+	Targets     []TargetStatus
 }
 
 // decoding is strict: what doesn't fit the message exactly was not written by an instance of this release.
@@ -70,10 +70,10 @@
 func decode(text []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := decoding.Unmarshal(text, &heartbeat); err != nil {
-		return Heartbeat{}, errors.Wrapf(ErrMessage, "decode heartbeat: %v", err)
+		return Heartbeat{}, errors.Wrapf(ErrInvalidMessage, "decode heartbeat: %v", err)
 	}
-	if heartbeat.From == "" || len(heartbeat.Targets) > TargetsMost {
-		return Heartbeat{}, errors.Wrap(ErrMessage, "no sender, or too many targets")
+	if heartbeat.From == "" || len(heartbeat.Targets) > MaxTargets {
+		return Heartbeat{}, errors.Wrap(ErrInvalidMessage, "no sender, or too many targets")
 	}
 	return heartbeat, nil
 }
--- a/internal/instance/plane.go
+++ b/internal/instance/plane.go
@@ -12,7 +12,7 @@
 	EventSent      = "datagram.sent"
 	EventSentBytes = "datagram.sentBytes"
 	EventReceived  = "datagram.received"
-	EventUnsealed  = "datagram.notSealed"
+	EventNotSealed = "datagram.notSealed"
 	EventMalformed = "datagram.notUnderstood"
 	EventSendError = "datagram.sendError"
 )
@@ -28,40 +28,40 @@
 	Events *expvar.Map
 }
 
-// Plane sends and takes sealed heartbeats.
-type Plane struct {
-	*Datagrams
+// HeartbeatTransport sends and takes sealed heartbeats.
+type HeartbeatTransport struct {
+	*Transport
 
 	options Options
 	sealer  *Sealer
 }
 
-// NewPlane returns a plane that takes heartbeats once Serve runs.
-func NewPlane(options Options) (*Plane, error) {
+// NewHeartbeatTransport returns a plane that takes heartbeats once Serve runs.
+func NewHeartbeatTransport(options Options) (*HeartbeatTransport, error) {
 	sealer, err := NewSealer(options.Keys)
 	if err != nil {
 		return nil, err
 	}
-	plane := &Plane{options: options, sealer: sealer}
-	plane.Datagrams = NewDatagrams(DatagramOptions{Address: options.Address, Deliver: plane.receive, Events: options.Events})
+	plane := &HeartbeatTransport{options: options, sealer: sealer}
+	plane.Transport = NewTransport(TransportOptions{Address: options.Address, Deliver: plane.receive, Events: options.Events})
 	return plane, nil
 }
 
 // Send sends a heartbeat.
-func (plane *Plane) Send(peer netip.AddrPort, heartbeat Heartbeat) {
+func (plane *HeartbeatTransport) Send(peer netip.AddrPort, heartbeat Heartbeat) {
 	message, err := encode(heartbeat)
 	if err != nil {
 		plane.options.Events.Add(EventSendError, 1)
 		return
 	}
-	plane.Datagrams.Send(peer, plane.sealer.Seal(message))
+	plane.Transport.Send(peer, plane.sealer.Seal(message))
 }
 
 // receive opens one datagram.
-func (plane *Plane) receive(datagram []byte) {
+func (plane *HeartbeatTransport) receive(datagram []byte) {
 	message, err := plane.sealer.Open(datagram)
 	if err != nil {
-		plane.options.Events.Add(EventUnsealed, 1)
+		plane.options.Events.Add(EventNotSealed, 1)
 		return
 	}
 	heartbeat, err := decode(message)
--- a/internal/instance/seal_bench_test.go
+++ b/internal/instance/seal_bench_test.go
@@ -9,7 +9,7 @@
 
 // BenchmarkDatagram measures making and reading one datagram, and reports its size.
 func BenchmarkDatagram(b *testing.B) {
-	for _, targets := range []int{0, TargetsMost} {
+	for _, targets := range []int{0, MaxTargets} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			sealer, err := NewSealer(settings.Keys{SealWith: "2026-12", Known: map[settings.KeyName]string{"2026-12": oldKey}})
 			if err != nil {
@@ -17,7 +17,7 @@
 			}
 			heartbeat := Heartbeat{From: "entry-12", Incarnation: 1764720000000, Sequence: 1 << 20, Digest: 1 << 60}
 			for number := range targets {
-				heartbeat.Targets = append(heartbeat.Targets, TargetNews{Target: TargetKey(1<<60 + number), Warm: true})
+				heartbeat.Targets = append(heartbeat.Targets, TargetStatus{Target: TargetKey(1<<60 + number), Warm: true})
 			}
 			var size int
 			b.ReportAllocs()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -15,8 +15,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ErrAnswer says that the platform's answer makes no sense.
-var ErrAnswer = errors.New("answer not understood")
+// ErrInvalidResponse says that the platform's answer makes no sense.
+var ErrInvalidResponse = errors.New("answer not understood")
 
 // Client reads the platform. It is safe for concurrent use.
 type Client struct {
@@ -48,24 +48,24 @@
 // Value reads one document.
 func (client *Client) Value(ctx context.Context, key string) ([]byte, error) {
 	address := client.settings.ConfigurationAddress
-	text, err := client.get(ctx, url.URL{Scheme: "http", Host: address, Path: ValuesPath + key}, client.settings.Timeout, ValueMost)
+	text, err := client.get(ctx, url.URL{Scheme: "http", Host: address, Path: ValuesPath + key}, client.settings.Timeout, MaxValueBytes)
 	return text, wrap(StepValue, address, errors.Wrapf(err, "key %s", key))
 }
 
 // WatchInstances returns the list of instances once its index is above after, or when the wait is over.
-func (client *Client) WatchInstances(ctx context.Context, after Index) (List, error) {
+func (client *Client) WatchInstances(ctx context.Context, after Index) (InstanceList, error) {
 	text, err := client.watch(ctx, client.settings.InstancesAddress, InstancesPath, after)
-	var list List
+	var list InstanceList
 	if err == nil {
 		list, err = parseList(text)
 	}
 	return list, wrap(StepInstances, client.settings.InstancesAddress, err)
 }
 
-func parseList(text []byte) (List, error) {
-	var list List
+func parseList(text []byte) (InstanceList, error) {
+	var list InstanceList
 	if err := json.Unmarshal(text, &list); err != nil {
-		return List{}, errors.Wrapf(ErrAnswer, "%v", err)
+		return InstanceList{}, errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
 	return list, list.check()
 }
@@ -73,10 +73,10 @@
 func parseKeys(text []byte) (Keys, error) {
 	var keys Keys
 	if err := json.Unmarshal(text, &keys); err != nil {
-		return Keys{}, errors.Wrapf(ErrAnswer, "%v", err)
+		return Keys{}, errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
 	if len(keys.Keys) == 0 {
-		return Keys{}, errors.Wrap(ErrAnswer, "no keys at all")
+		return Keys{}, errors.Wrap(ErrInvalidResponse, "no keys at all")
 	}
 	return keys, nil
 }
@@ -86,7 +86,7 @@
 	query.Set(AfterParameter, strconv.FormatUint(uint64(after), 10))
 	query.Set(WaitParameter, strconv.FormatInt(int64(client.settings.WatchMost), 10))
 	timeout := client.settings.Timeout + client.settings.WatchMost
-	return client.get(ctx, url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}, timeout, ListMost)
+	return client.get(ctx, url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}, timeout, MaxListBytes)
 }
 
 func (client *Client) get(ctx context.Context, from url.URL, timeout clock.Milliseconds, most int64) ([]byte, error) {
@@ -102,11 +102,11 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Wrapf(ErrAnswer, "status %d", response.StatusCode)
+		return nil, errors.Wrapf(ErrInvalidResponse, "status %d", response.StatusCode)
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, most+1))
 	if err == nil && int64(len(text)) > most {
-		err = errors.Wrapf(ErrAnswer, "more than %d bytes", most)
+		err = errors.Wrapf(ErrInvalidResponse, "more than %d bytes", most)
 	}
 	return text, err
 }
@@ -120,9 +120,9 @@
 
 // check refuses a list that can't be right. An empty one would take every backend server away at once, and nothing but
 // a fault of the platform empties it.
-func (list *List) check() error {
+func (list *InstanceList) check() error {
 	if len(list.Instances) == 0 {
-		return errors.Wrap(ErrAnswer, "an empty list")
+		return errors.Wrap(ErrInvalidResponse, "an empty list")
 	}
 	names := make(map[string]bool, len(list.Instances))
 	for index := range list.Instances {
@@ -131,7 +131,7 @@
 			return errors.Wrapf(err, "instances.%d", index)
 		}
 		if names[instance.Name] {
-			return errors.Wrapf(ErrAnswer, "instances.%d: %q stands twice", index, instance.Name)
+			return errors.Wrapf(ErrInvalidResponse, "instances.%d: %q stands twice", index, instance.Name)
 		}
 		names[instance.Name] = true
 	}
@@ -141,19 +141,19 @@
 func (instance *Instance) check() error {
 	switch {
 	case instance.Name == "":
-		return errors.Wrap(ErrAnswer, "no name")
+		return errors.Wrap(ErrInvalidResponse, "no name")
 	case instance.Kind != KindEntry && instance.Kind != KindBackendServer:
-		return errors.Wrapf(ErrAnswer, "kind %q", instance.Kind)
+		return errors.Wrapf(ErrInvalidResponse, "kind %q", instance.Kind)
 	case instance.State != StateLive && instance.State != StateLeaving:
-		return errors.Wrapf(ErrAnswer, "state %q", instance.State)
+		return errors.Wrapf(ErrInvalidResponse, "state %q", instance.State)
 	case instance.Kind == KindBackendServer && instance.Service == "":
-		return errors.Wrap(ErrAnswer, "a backend server without a service")
+		return errors.Wrap(ErrInvalidResponse, "a backend server without a service")
 	}
 	if _, err := netip.ParseAddrPort(instance.Address); err != nil {
-		return errors.Wrapf(ErrAnswer, "address %q", instance.Address)
+		return errors.Wrapf(ErrInvalidResponse, "address %q", instance.Address)
 	}
 	if _, err := netip.ParseAddrPort(instance.PeerAddress); instance.Kind == KindEntry && err != nil {
-		return errors.Wrapf(ErrAnswer, "peerAddress %q", instance.PeerAddress)
+		return errors.Wrapf(ErrInvalidResponse, "peerAddress %q", instance.PeerAddress)
 	}
 	return nil
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "one", string(text))
 	_, err = client.Value(context.Background(), "none")
-	require.ErrorIs(t, err, platform.ErrAnswer)
+	require.ErrorIs(t, err, platform.ErrInvalidResponse)
 }
 
 // A watch is answered when something changes, and the watchers hand on each change once, the site before the services.
@@ -93,14 +93,14 @@
 	events := (&expvar.Map{}).Init()
 	options := platform.WatchOptions{Client: newClient(t, stand), Events: events, Log: zerolog.Nop(), Jitter: func() float64 { return 0 }}
 	documents := make(chan string, 10)
-	lists := make(chan platform.List, 10)
+	lists := make(chan platform.InstanceList, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
 	configuration := platform.NewConfigurationWatcher(options, func(_ context.Context, key string, text []byte) error {
 		documents <- key + "=" + string(text)
 		return nil
 	})
-	list := platform.NewListWatcher(options, func(_ context.Context, list platform.List) error {
+	list := platform.NewInstanceListWatcher(options, func(_ context.Context, list platform.InstanceList) error {
 		lists <- list
 		return nil
 	})
@@ -144,7 +144,7 @@
 		options := platform.WatchOptions{Client: client, Events: (&expvar.Map{}).Init(), Log: zerolog.Nop(), Jitter: func() float64 { return 0.5 }}
 		ctx, stop := context.WithTimeout(context.Background(), (60 * clock.Minute).Duration())
 		defer stop()
-		watcher := platform.NewListWatcher(options, func(context.Context, platform.List) error { return nil })
+		watcher := platform.NewInstanceListWatcher(options, func(context.Context, platform.InstanceList) error { return nil })
 		require.ErrorIs(t, watcher.Serve(ctx), context.DeadlineExceeded)
 		require.Greater(t, transport.reads, 60)
 		require.Less(t, transport.reads, 1800)
--- a/internal/platform/export_test.go
+++ b/internal/platform/export_test.go
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		list, err := parseList(text)
 		if err != nil {
-			require.True(t, errors.Is(err, ErrAnswer), "%v", err)
+			require.True(t, errors.Is(err, ErrInvalidResponse), "%v", err)
 			return
 		}
 		require.NotEmpty(t, list.Instances)
--- a/internal/platform/types.go
+++ b/internal/platform/types.go
@@ -22,8 +22,8 @@
 
 // Bounds of what is accepted from the platform, in bytes.
 const (
-	ValueMost = 1 << 20
-	ListMost  = 8 << 20
+	MaxValueBytes = 1 << 20
+	MaxListBytes  = 8 << 20
 )
 
 // Keys is the answer to a watch of the configuration service: each key with the index of its last change.
@@ -64,8 +64,8 @@
 	Service settings.ServiceName `json:"service,omitempty"`
 }
 
-// List is the answer to a watch of the list of instances.
-type List struct {
+// InstanceList is the answer to a watch of the list of instances.
+type InstanceList struct {
 	Index     Index      `json:"index"`
 	Instances []Instance `json:"instances"`
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -135,20 +135,20 @@
 	}
 }
 
-// ListWatcher reads the list of instances when it changes.
-type ListWatcher struct {
+// InstanceListWatcher reads the list of instances when it changes.
+type InstanceListWatcher struct {
 	pacer   pacer
-	deliver func(ctx context.Context, list List) error
+	deliver func(ctx context.Context, list InstanceList) error
 	index   Index
 }
 
-// NewListWatcher returns a watcher that gives each new list to deliver.
-func NewListWatcher(options WatchOptions, deliver func(ctx context.Context, list List) error) *ListWatcher {
-	return &ListWatcher{pacer: pacer{options: options, what: "list of instances"}, deliver: deliver}
+// NewInstanceListWatcher returns a watcher that gives each new list to deliver.
+func NewInstanceListWatcher(options WatchOptions, deliver func(ctx context.Context, list InstanceList) error) *InstanceListWatcher {
+	return &InstanceListWatcher{pacer: pacer{options: options, what: "list of instances"}, deliver: deliver}
 }
 
 // Serve watches until the context ends.
-func (watcher *ListWatcher) Serve(ctx context.Context) error {
+func (watcher *InstanceListWatcher) Serve(ctx context.Context) error {
 	for {
 		if err := watcher.pacer.after(ctx, watcher.round(ctx)); err != nil {
 			return err
@@ -156,7 +156,7 @@
 	}
 }
 
-func (watcher *ListWatcher) round(ctx context.Context) error {
+func (watcher *InstanceListWatcher) round(ctx context.Context) error {
 	list, err := watcher.pacer.options.Client.WatchInstances(ctx, watcher.index)
 	if err != nil {
 		return err
--- a/internal/platformtest/platform.go
+++ b/internal/platformtest/platform.go
@@ -51,7 +51,7 @@
 	listIndex platform.Index
 	fault     Fault
 	staleKeys platform.Keys
-	staleList platform.List
+	staleList platform.InstanceList
 
 	reads atomic.Int64
 }
@@ -214,11 +214,11 @@
 	return keys
 }
 
-func (stand *Platform) list() platform.List {
+func (stand *Platform) list() platform.InstanceList {
 	if stand.fault == FaultStale {
 		return stand.staleList
 	}
-	list := platform.List{Index: stand.listIndex, Instances: []platform.Instance{}}
+	list := platform.InstanceList{Index: stand.listIndex, Instances: []platform.Instance{}}
 	for _, name := range slices.Sorted(maps.Keys(stand.instances)) {
 		list.Instances = append(list.Instances, stand.instances[name])
 	}
--- a/internal/sensing/sensing.go
+++ b/internal/sensing/sensing.go
@@ -226,8 +226,8 @@
 // drain reads the answer to its end. Otherwise its connection could not be used again.
 func drain(exchange *backendserver.Exchange) error {
 	var buffer [probeBufferSize]byte
-	for !exchange.Whole() {
-		if _, err := exchange.Read(buffer[:]); err != nil && !exchange.Whole() {
+	for !exchange.FullyRead() {
+		if _, err := exchange.Read(buffer[:]); err != nil && !exchange.FullyRead() {
 			return err
 		}
 	}
--- a/internal/sitetest/noise.go
+++ b/internal/sitetest/noise.go
@@ -47,7 +47,7 @@
 	for ctx.Err() == nil {
 		next := noise.next(random, from)
 		wait(ctx, next.from-time.Since(start))
-		server.SetBehaviour(backendservertest.Behaviour{SlowBy: noise.SlowBy})
+		server.SetBehaviour(backendservertest.Behaviour{SlowdownFactor: noise.SlowBy})
 		wait(ctx, next.to-time.Since(start))
 		server.SetBehaviour(backendservertest.Behaviour{})
 		from = next.to
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -164,8 +164,8 @@
 	}
 	options.Name = string(target)
 	options.Slots = serviceSettings.SlotsPerTarget
-	options.ColdPlaces = serviceSettings.ColdStart.Places
-	options.FullAfter = serviceSettings.ColdStart.FullAfter
+	options.ColdLimit = serviceSettings.ColdStart.Places
+	options.WarmupDuration = serviceSettings.ColdStart.FullAfter
 	options.Seed = site.options.Seed + uint64(len(site.servers))
 	started, err := backendservertest.Start(options)
 	if err != nil {
