--- a/internal/backendserver/address_change_test.go
+++ b/internal/backendserver/address_change_test.go
@@ -12,10 +12,11 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Guards against requests that go to a backend server's former address on a connection that was in use when the server moved.
+// Guards against requests that reach the former address of a backend server over a connection that was in use when the
+// address changed.
 func TestConnectionToAFormerAddressIsNotKept(t *testing.T) {
-	moved := make(chan struct{})
-	answers := func(text string, wait <-chan struct{}) func(net.Conn, *bufio.Reader) {
+	addressChanged := make(chan struct{})
+	respondWith := func(text string, wait <-chan struct{}) func(net.Conn, *bufio.Reader) {
 		return func(connection net.Conn, reader *bufio.Reader) {
 			for {
 				if _, err := http.ReadRequest(reader); err != nil {
@@ -29,10 +30,10 @@
 			}
 		}
 	}
-	former, present := scriptedServer(t, answers("old", moved)), scriptedServer(t, answers("new", nil))
-	servers := newServers(t, clock.New(), former, 4)
-	ask := func(during func()) string {
-		request, err := http.NewRequest(http.MethodGet, "http://"+former+"/", http.NoBody)
+	formerAddress, newAddress := scriptedServer(t, respondWith("old", addressChanged)), scriptedServer(t, respondWith("new", nil))
+	servers := newServers(t, clock.New(), formerAddress, 4)
+	send := func(during func()) string {
+		request, err := http.NewRequest(http.MethodGet, "http://"+formerAddress+"/", http.NoBody)
 		require.NoError(t, err)
 		exchange, err := servers.Send(t.Context(), target, request, false)
 		require.NoError(t, err)
@@ -42,10 +43,10 @@
 		require.NoError(t, err)
 		return string(text)
 	}
-	require.Equal(t, "old", ask(func() {
-		servers.Set(target, Options{Address: present, MaxConnections: 4, Connections: connectionSettings()})
-		close(moved)
+	require.Equal(t, "old", send(func() {
+		servers.Set(target, Options{Address: newAddress, MaxConnections: 4, Connections: connectionSettings()})
+		close(addressChanged)
 	}))
-	require.Equal(t, "new", ask(func() {}))
+	require.Equal(t, "new", send(func() {}))
 	require.Equal(t, 1, servers.OpenConnections(target))
 }
--- a/internal/backendserver/errors.go
+++ b/internal/backendserver/errors.go
@@ -19,19 +19,19 @@
 	StepReport   Step = "report"
 )
 
-// ErrConnectionLimitReached says that every connection agreed for the target is in use.
-var ErrConnectionLimitReached = errors.New("every agreed connection is in use")
+// ErrConnectionLimitReached is returned when this instance's share of the connections to the target is in use.
+var ErrConnectionLimitReached = errors.New("connection limit reached: all connections are in use")
 
-// ErrUnknownTarget says that the target is not, or no longer, known.
+// ErrUnknownTarget is returned for a target that has not been added or has been removed.
 var ErrUnknownTarget = errors.New("unknown target")
 
-// Error is a failed exchange with one backend server.
+// Error describes a failed exchange with a backend server.
 type Error struct {
 	Step   Step
 	Target settings.TargetName
-	// Written tells whether any byte of the request may have left this process.
+	// Written reports whether any byte of the request may have left this process.
 	Written bool
-	// Reused tells whether the connection had carried a request before.
+	// Reused reports whether the connection had carried a request before.
 	Reused bool
 	Cause  error
 }
@@ -46,7 +46,8 @@
 	return err.Cause
 }
 
-// IsErrNotWritten reports whether err says that no byte of the request left this process, so that it did not run.
+// IsErrNotWritten reports whether err is an *Error for a request of which no byte left this process, so that the request
+// did not run.
 func IsErrNotWritten(err error) bool {
 	var exchangeError *Error
 	return errors.As(err, &exchangeError) && !exchangeError.Written
--- a/internal/backendserver/pool.go
+++ b/internal/backendserver/pool.go
@@ -13,24 +13,23 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Options describe the connections to one backend server.
+// Options configures the connections to one backend server.
 type Options struct {
-	// Address is its IP number and port.
+	// Address is the IP address and port of the backend server.
 	Address string
-	// MaxConnections is this instance's share of the agreed number of connections.
+	// MaxConnections is this instance's share of the connections that the backend server allows.
 	MaxConnections int
-	// Connections are the service's settings.
+	// Connections are the connection settings of the service.
 	Connections settings.Connections
 }
 
-// connection is one connection to a backend server. At any time it belongs either to a pool's idle list or to one
-// exchange.
+// connection is a connection to a backend server. It belongs either to the idle list of its pool or to one exchange.
 type connection struct {
-	client  *http.ClientConn
-	socket  *socket
-	address string
-	idleAt  clock.Moment
-	used    bool
+	client    *http.ClientConn
+	socket    *socket
+	address   string
+	idleSince clock.Moment
+	used      bool
 }
 
 // pool holds the connections to one backend server.
@@ -46,10 +45,10 @@
 	closed  bool
 }
 
-// take returns a connection for one exchange: the one used last, or a new one. With freshOnly an idle connection that
-// has not shown life lately is passed over, since a request that must not run twice can't be sent again
-// when it turns out dead.
-func (pool *pool) take(ctx context.Context, freshOnly bool) (*connection, error) {
+// acquire returns a connection for one exchange: the most recently used idle connection, or a new one. With freshOnly it
+// skips idle connections on which nothing has been received within the freshness period of the settings: a request that
+// must not run twice can't be sent again if the connection turns out to be dead.
+func (pool *pool) acquire(ctx context.Context, freshOnly bool) (*connection, error) {
 	options, idle, err := pool.reserve(freshOnly)
 	if idle != nil || err != nil {
 		return idle, err
@@ -58,13 +57,13 @@
 	defer cancel()
 	dialed, err := pool.dial(ctx, options)
 	if err != nil {
-		pool.forget()
+		pool.cancelReservation()
 		return nil, err
 	}
 	return dialed, nil
 }
 
-// reserve returns a usable idle connection, or counts a new one that the caller is to make.
+// reserve returns a usable idle connection, or nil after counting a new connection that the caller must open.
 func (pool *pool) reserve(freshOnly bool) (Options, *connection, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -73,7 +72,7 @@
 	}
 	for position := len(pool.idle) - 1; position >= 0; position-- {
 		candidate := pool.idle[position]
-		switch pool.judge(candidate, freshOnly) {
+		switch pool.classify(candidate, freshOnly) {
 		case usable:
 			pool.idle = slices.Delete(pool.idle, position, position+1)
 			return pool.options, candidate, nil
@@ -81,11 +80,11 @@
 			pool.idle = slices.Delete(pool.idle, position, position+1)
 			pool.closeLocked(candidate)
 		case stale:
-			// It may still serve a request that can be sent again.
+			// Requests that can be sent again may still use it.
 		}
 	}
 	if pool.open >= pool.options.MaxConnections && len(pool.idle) > 0 {
-		// All that are idle are stale; the oldest makes room.
+		// Every idle connection is stale. Close the least recently used one to open a fresh one in its place.
 		pool.closeLocked(pool.idle[0])
 		pool.idle = slices.Delete(pool.idle, 0, 1)
 	}
@@ -96,20 +95,20 @@
 	return pool.options, nil, nil
 }
 
-// verdict tells what an idle connection is good for.
-type verdict int
+// idleState is the state of an idle connection.
+type idleState int
 
 const (
-	usable verdict = iota
+	usable idleState = iota
 	stale
 	dead
 )
 
-func (pool *pool) judge(candidate *connection, freshOnly bool) verdict {
+func (pool *pool) classify(candidate *connection, freshOnly bool) idleState {
 	switch {
 	case candidate.client.Err() != nil:
 		return dead
-	case freshOnly && candidate.socket.lifeSince(pool.clock.Now()) > pool.options.Connections.FreshFor:
+	case freshOnly && candidate.socket.sinceLastRead(pool.clock.Now()) > pool.options.Connections.FreshFor:
 		return stale
 	default:
 		return usable
@@ -122,15 +121,15 @@
 	pool.open--
 }
 
-// forget counts a connection that could not be made.
-func (pool *pool) forget() {
+// cancelReservation subtracts a reserved connection that could not be opened.
+func (pool *pool) cancelReservation() {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	pool.open--
 }
 
-// put takes a connection back after an exchange.
-func (pool *pool) put(connection *connection, reusable bool) {
+// release returns a connection to the pool after an exchange, or closes it if it can't be reused.
+func (pool *pool) release(connection *connection, reusable bool) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	outdated := pool.closed || connection.address != pool.options.Address
@@ -139,28 +138,29 @@
 		return
 	}
 	connection.used = true
-	connection.idleAt = pool.clock.Now()
+	connection.idleSince = pool.clock.Now()
 	pool.idle = append(pool.idle, connection)
 }
 
-// closeIdle closes connections that are dead or have been unused for too long. Those used longest ago stand first.
+// closeIdle closes the idle connections that are dead or have exceeded the idle timeout. The idle list is ordered from the
+// least to the most recently used connection.
 func (pool *pool) closeIdle() {
 	now := pool.clock.Now()
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	kept := pool.idle[:0]
+	remaining := pool.idle[:0]
 	for _, candidate := range pool.idle {
-		if candidate.client.Err() != nil || now.Since(candidate.idleAt) > pool.options.Connections.IdleMost {
+		if candidate.client.Err() != nil || now.Since(candidate.idleSince) > pool.options.Connections.IdleMost {
 			pool.closeLocked(candidate)
 			continue
 		}
-		kept = append(kept, candidate)
+		remaining = append(remaining, candidate)
 	}
-	clear(pool.idle[len(kept):])
-	pool.idle = kept
+	clear(pool.idle[len(remaining):])
+	pool.idle = remaining
 }
 
-// setOptions changes the options; connections to an address that is no longer right are closed.
+// setOptions replaces the options. If the address has changed, it closes the idle connections to the old address.
 func (pool *pool) setOptions(options Options) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -177,7 +177,7 @@
 	pool.idle = nil
 }
 
-// close closes what is idle; connections in use are closed when their exchange ends.
+// close closes the idle connections. Connections in use are closed when their exchange ends.
 func (pool *pool) close() {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -191,10 +191,11 @@
 	return pool.open
 }
 
-// socketKey is the context key under which a dial hands its socket back through the standard library.
+// socketKey is the context key of the dialRequest through which dialSocket returns its socket to connect. The standard
+// library calls dialSocket in between.
 type socketKey struct{}
 
-// connector makes connections that the standard library reads and writes but never replaces.
+// connector opens connections on which the standard library speaks HTTP, but which it neither pools nor replaces.
 type connector struct {
 	clock     *clock.Clock
 	transport *http.Transport
@@ -210,30 +211,30 @@
 	return connector
 }
 
-// dialRequest travels in the context of a dial.
+// dialRequest holds the parameters and the result of a dial. It is passed in the context.
 type dialRequest struct {
-	silentMost clock.Milliseconds
-	made       *socket
+	userTimeout clock.Milliseconds
+	socket      *socket
 }
 
 func (connector *connector) dialSocket(ctx context.Context, _, address string) (net.Conn, error) {
 	request, found := ctx.Value(socketKey{}).(*dialRequest)
 	if !found {
-		return nil, errors.AssertionFailedf("dial without a request")
+		return nil, errors.AssertionFailedf("no dial request in the context")
 	}
-	dialed, err := dial(ctx, connector.clock, address, request.silentMost)
+	dialed, err := dial(ctx, connector.clock, address, request.userTimeout)
 	if err != nil {
 		return nil, err
 	}
-	request.made = dialed
+	request.socket = dialed
 	return dialed, nil
 }
 
 func (connector *connector) connect(ctx context.Context, options Options) (*connection, error) {
-	request := &dialRequest{silentMost: options.Connections.SilentMost}
+	request := &dialRequest{userTimeout: options.Connections.SilentMost}
 	client, err := connector.transport.NewClientConn(context.WithValue(ctx, socketKey{}, request), "http", options.Address)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{client: client, socket: request.made, address: options.Address}, nil
+	return &connection{client: client, socket: request.socket, address: options.Address}, nil
 }
--- a/internal/backendserver/report.go
+++ b/internal/backendserver/report.go
@@ -13,28 +13,28 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// reportMost bounds a load report, in bytes.
-const reportMost = 64 << 10
+// maxReportBytes is the maximum size of a load report.
+const maxReportBytes = 64 << 10
 
-// reportTimeout bounds the reading of a load report.
+// reportTimeout is the maximum time for reading a load report.
 const reportTimeout = clock.Second
 
-// ErrInvalidReport says that a load report makes no sense.
+// ErrInvalidReport is returned for a load report that is malformed, too large or has invalid values.
 var ErrInvalidReport = errors.New("load report not understood")
 
-// Report is what a backend server tells of itself. It is always late and may be wrong.
+// Report is the load report of a backend server. It is always outdated by the time it is read and may be wrong.
 type Report struct {
-	// StartedMs is when the server's process started, in milliseconds of its own wall clock. Only whether it changed
-	// counts: then the server has started anew under the same address.
+	// StartedMs is the start time of the server's process, in milliseconds of the server's own wall clock. Only a change of
+	// it matters: the server has restarted under the same address.
 	StartedMs int64 `json:"startedMs"`
-	// InFlight and Queued are the requests that run and wait there.
+	// InFlight is the number of requests that the server is processing, Queued the number that wait in its queue.
 	InFlight int `json:"inFlight"`
 	Queued   int `json:"queued"`
-	// Draining says that it is on its way out.
+	// Draining reports that the server is shutting down.
 	Draining bool `json:"draining"`
 }
 
-// ReadReport reads a target's load report over one of its agreed connections. The error is an *Error.
+// ReadReport reads the load report of a target over a connection of its pool. The error is an *Error.
 func (servers *Servers) ReadReport(ctx context.Context, target settings.TargetName, path string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout.Duration())
 	defer cancel()
@@ -47,7 +47,7 @@
 		return Report{}, err
 	}
 	defer exchange.Close()
-	text, err := io.ReadAll(io.LimitReader(exchange, reportMost+1))
+	text, err := io.ReadAll(io.LimitReader(exchange, maxReportBytes+1))
 	if err != nil {
 		return Report{}, &Error{Step: StepReport, Target: target, Written: true, Cause: err}
 	}
@@ -63,14 +63,14 @@
 	if status != http.StatusOK {
 		return Report{}, errors.Wrapf(ErrInvalidReport, "status %d", status)
 	}
-	if len(text) > reportMost {
-		return Report{}, errors.Wrapf(ErrInvalidReport, "more than %d bytes", reportMost)
+	if len(text) > maxReportBytes {
+		return Report{}, errors.Wrapf(ErrInvalidReport, "more than %d bytes", maxReportBytes)
 	}
 	if err := json.Unmarshal(text, &report); err != nil {
 		return Report{}, errors.Wrapf(ErrInvalidReport, "load report: %v", err)
 	}
 	if report.InFlight < 0 || report.Queued < 0 || report.StartedMs < 0 {
-		return Report{}, errors.Wrap(ErrInvalidReport, "a number below zero")
+		return Report{}, errors.Wrap(ErrInvalidReport, "inFlight, queued or startedMs is below zero")
 	}
 	return report, nil
 }
--- a/internal/backendserver/servers.go
+++ b/internal/backendserver/servers.go
@@ -10,22 +10,22 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// expectContinueTimeout is how long a request body is held back for a "100 Continue".
+// expectContinueTimeout is how long sending a request body is delayed while waiting for a "100 Continue" response.
 const expectContinueTimeout = clock.Second
 
-// Servers holds the connections to every backend server. It is safe for concurrent use.
+// Servers holds the connection pools of all backend servers. It is safe for concurrent use.
 type Servers struct {
 	clock     *clock.Clock
 	connector *connector
 	pools     sync.Map // settings.TargetName to *pool
 }
 
-// NewServers returns an empty set.
+// NewServers returns a Servers without any backend server.
 func NewServers(clock *clock.Clock) *Servers {
 	return &Servers{clock: clock, connector: newConnector(clock)}
 }
 
-// Set makes a backend server known or changes its options.
+// Set adds a backend server or replaces its options.
 func (servers *Servers) Set(target settings.TargetName, options Options) {
 	if found, known := servers.pools.Load(target); known {
 		found.(*pool).setOptions(options) //nolint:forcetypeassert // The map holds nothing else.
@@ -39,25 +39,25 @@
 	})
 }
 
-// Remove forgets a backend server. Exchanges under way go on.
+// Remove removes a backend server. Exchanges in progress continue.
 func (servers *Servers) Remove(target settings.TargetName) {
 	if found, known := servers.pools.LoadAndDelete(target); known {
 		found.(*pool).close() //nolint:forcetypeassert // The map holds nothing else.
 	}
 }
 
-// CloseIdle closes connections that are dead or unused for too long.
+// CloseIdle closes the idle connections that are dead or have exceeded the idle timeout.
 func (servers *Servers) CloseIdle() {
-	servers.each((*pool).closeIdle)
+	servers.forEach((*pool).closeIdle)
 }
 
-// Close closes every idle connection and forgets every backend server.
+// Close closes all idle connections and removes all backend servers.
 func (servers *Servers) Close() {
-	servers.each((*pool).close)
+	servers.forEach((*pool).close)
 	servers.pools.Clear()
 }
 
-// OpenConnections returns the number of connections open to a backend server.
+// OpenConnections returns the number of open connections to a backend server, idle or in use.
 func (servers *Servers) OpenConnections(target settings.TargetName) int {
 	found, known := servers.pools.Load(target)
 	if !known {
@@ -66,84 +66,86 @@
 	return found.(*pool).openCount() //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (servers *Servers) each(action func(*pool)) {
+func (servers *Servers) forEach(action func(*pool)) {
 	servers.pools.Range(func(_, found any) bool {
 		action(found.(*pool)) //nolint:forcetypeassert // The map holds nothing else.
 		return true
 	})
 }
 
-// Exchange is one request and its answer on one connection. Close must be called once the answer has been read.
+// Exchange is one request and its response on one connection. Close must be called after the response has been read.
 type Exchange struct {
-	// Response is the answer; its Body is to be read to the end or else the connection is closed.
+	// Response is the response of the backend server. Close closes the connection unless the body has been read to the end
+	// with Exchange.Read.
 	Response *http.Response
-	// Reused tells whether the connection had carried a request before.
+	// Reused reports whether the connection had carried a request before.
 	Reused bool
 
 	pool       *pool
 	connection *connection
-	whole      bool
+	fullyRead  bool
 	closed     bool
 }
 
-// Send writes the request on a connection to target, once, and returns when the answer's header has arrived. With
-// freshOnly only a new connection, or one that has just shown life, is used. The error is an *Error.
+// Send writes the request once on a connection to target and returns when the response header has arrived. With freshOnly
+// it uses a new connection, or one on which data has been received within the freshness period of the settings. The error
+// is an *Error.
 func (servers *Servers) Send(ctx context.Context, target settings.TargetName, request *http.Request, freshOnly bool) (*Exchange, error) {
 	found, known := servers.pools.Load(target)
 	if !known {
 		return nil, &Error{Step: StepConnect, Target: target, Cause: ErrUnknownTarget}
 	}
 	pool := found.(*pool) //nolint:forcetypeassert // The map holds nothing else.
-	taken, err := pool.take(ctx, freshOnly)
+	connection, err := pool.acquire(ctx, freshOnly)
 	if err != nil {
 		return nil, &Error{Step: StepConnect, Target: target, Cause: err}
 	}
-	return pool.exchange(ctx, taken, request)
+	return pool.exchange(ctx, connection, request)
 }
 
-// exchange sends the request on a connection that belongs to it alone, once.
-func (pool *pool) exchange(ctx context.Context, taken *connection, request *http.Request) (*Exchange, error) {
-	before := taken.socket.written.Load()
-	reused := taken.used
-	response, err := taken.client.RoundTrip(request.WithContext(ctx)) //nolint:bodyclose // Exchange.Close does.
+// exchange sends the request once on a connection that nothing else uses.
+func (pool *pool) exchange(ctx context.Context, connection *connection, request *http.Request) (*Exchange, error) {
+	before := connection.socket.written.Load()
+	reused := connection.used
+	response, err := connection.client.RoundTrip(request.WithContext(ctx)) //nolint:bodyclose // Exchange.Close does.
 	if err != nil {
-		// Closing the socket first makes sure that not one more byte of the request leaves after the count is read.
-		taken.socket.Conn.Close()
-		written := taken.socket.written.Load() != before
-		pool.put(taken, false)
-		return nil, &Error{Step: stepOf(written), Target: pool.target, Written: written, Reused: reused, Cause: err}
+		// Close the socket before reading the count, so that no byte of the request is sent after the read.
+		connection.socket.Conn.Close()
+		written := connection.socket.written.Load() != before
+		pool.release(connection, false)
+		return nil, &Error{Step: failedStep(written), Target: pool.target, Written: written, Reused: reused, Cause: err}
 	}
-	return &Exchange{Response: response, Reused: reused, pool: pool, connection: taken}, nil
+	return &Exchange{Response: response, Reused: reused, pool: pool, connection: connection}, nil
 }
 
-func stepOf(written bool) Step {
+func failedStep(written bool) Step {
 	if written {
 		return StepResponse
 	}
 	return StepWrite
 }
 
-// Read reads the answer's body; it notes when the end has been reached.
+// Read reads from the response body and records whether its end has been reached.
 func (exchange *Exchange) Read(buffer []byte) (int, error) {
 	count, err := exchange.Response.Body.Read(buffer)
 	if err == io.EOF { //nolint:errorlint // io.Reader returns it bare.
-		exchange.whole = true
+		exchange.fullyRead = true
 	}
 	return count, err
 }
 
-// FullyRead reports whether the answer was read to its end.
+// FullyRead reports whether the response body was read to its end.
 func (exchange *Exchange) FullyRead() bool {
-	return exchange.whole
+	return exchange.fullyRead
 }
 
-// Close gives the connection back when the answer was read to its end, and closes it otherwise: what is left of the
-// answer would be taken for the start of the next one.
+// Close returns the connection to its pool if the response was read to its end. Otherwise it closes the connection, since
+// the rest of the response would be read as the start of the next one.
 func (exchange *Exchange) Close() {
 	if exchange.closed {
 		return
 	}
 	exchange.closed = true
 	exchange.Response.Body.Close()
-	exchange.pool.put(exchange.connection, exchange.whole)
+	exchange.pool.release(exchange.connection, exchange.fullyRead)
 }
--- a/internal/backendserver/servers_test.go
+++ b/internal/backendserver/servers_test.go
@@ -21,8 +21,8 @@
 
 const target = settings.TargetName("fees-1")
 
-// scriptedServer treats each connection as its test says.
-func scriptedServer(t testing.TB, treat func(connection net.Conn, reader *bufio.Reader)) string {
+// scriptedServer starts a server that calls handle for each connection. It returns the address of the server.
+func scriptedServer(t testing.TB, handle func(connection net.Conn, reader *bufio.Reader)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -34,15 +34,16 @@
 			}
 			go func() {
 				defer connection.Close()
-				treat(connection, bufio.NewReader(connection))
+				handle(connection, bufio.NewReader(connection))
 			}()
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// answerOnceThenCut answers one request on each connection, then reads a second one whole and breaks off.
-func answerOnceThenCut(runs *atomic.Int64) func(net.Conn, *bufio.Reader) {
+// respondOnceThenClose responds to one request on each connection, then reads a second one to its end and closes the
+// connection.
+func respondOnceThenClose(runs *atomic.Int64) func(net.Conn, *bufio.Reader) {
 	return func(connection net.Conn, reader *bufio.Reader) {
 		for number := range 2 {
 			request, err := http.ReadRequest(reader)
@@ -63,10 +64,10 @@
 	return settings.Connections{ConnectTimeout: 5 * clock.Second, IdleMost: 30 * clock.Second, FreshFor: clock.Second, SilentMost: 5 * clock.Second}
 }
 
-func newServers(t testing.TB, clock *clock.Clock, address string, most int) *Servers {
+func newServers(t testing.TB, clock *clock.Clock, address string, maxConnections int) *Servers {
 	servers := NewServers(clock)
 	t.Cleanup(servers.Close)
-	servers.Set(target, Options{Address: address, MaxConnections: most, Connections: connectionSettings()})
+	servers.Set(target, Options{Address: address, MaxConnections: maxConnections, Connections: connectionSettings()})
 	return servers
 }
 
@@ -77,7 +78,7 @@
 	return request
 }
 
-// exchangeAll sends a request and reads its whole answer.
+// exchangeAll sends a request and reads the complete response.
 func exchangeAll(servers *Servers, request *http.Request, freshOnly bool) error {
 	exchange, err := servers.Send(context.Background(), target, request, freshOnly)
 	if err != nil {
@@ -88,16 +89,16 @@
 	return err
 }
 
-// A kept connection dies under a payment that carries an Idempotency-Key. The standard library's pooled transport takes
-// the key for leave to send it again, and the family is charged twice; a connection of our own sends it once and says
-// that it may have run. The first half shows the danger, so that nobody puts the transport back for its convenience.
+// Guards against a payment that runs twice. A reused connection fails during a payment with an Idempotency-Key. The
+// standard library's pooled transport considers such a request replayable and sends it again. A connection of this package
+// sends it once and reports that it may have run. The first case shows why the pooled transport can't be used.
 func TestPaymentIsWrittenOnce(t *testing.T) {
 	cases := []struct {
 		name string
 		send func(t *testing.T, address string) error
 		runs int64
 	}{
-		{"the standard library's transport", func(t *testing.T, address string) error {
+		{"pooled transport of the standard library", func(t *testing.T, address string) error {
 			client := &http.Client{Transport: &http.Transport{}}
 			response, err := client.Get("http://" + address + "/")
 			require.NoError(t, err)
@@ -109,7 +110,7 @@
 			}
 			return err
 		}, 2},
-		{"a connection of our own", func(t *testing.T, address string) error {
+		{"connection of this package", func(t *testing.T, address string) error {
 			servers := newServers(t, clock.New(), address, 4)
 			request, err := http.NewRequest(http.MethodGet, "http://"+address+"/", http.NoBody)
 			require.NoError(t, err)
@@ -117,7 +118,7 @@
 			err = exchangeAll(servers, newPost(t, address), true)
 			var failure *Error
 			require.True(t, errors.As(err, &failure))
-			require.True(t, failure.Reused, "the kept connection was used")
+			require.True(t, failure.Reused, "the idle connection was used")
 			require.True(t, failure.Written)
 			require.False(t, IsErrNotWritten(err))
 			return err
@@ -126,51 +127,51 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			var runs atomic.Int64
-			_ = testCase.send(t, scriptedServer(t, answerOnceThenCut(&runs)))
+			_ = testCase.send(t, scriptedServer(t, respondOnceThenClose(&runs)))
 			require.Equal(t, testCase.runs, runs.Load())
 		})
 	}
 }
 
-// The server closes a kept connection after it was chosen for a payment and before the payment is written. Not a byte
-// leaves on it, and the error says so, which makes it safe to send even a payment again.
+// The server closes an idle connection after it was selected for a payment and before the payment is written. No byte is
+// sent, and the error says so, so that even a payment can safely be sent again.
 func TestClosedIdleConnectionIsNotWritten(t *testing.T) {
-	chosenHere := make(chan struct{})
+	selected := make(chan struct{})
 	address := scriptedServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		<-chosenHere
+		<-selected
 	})
 	servers := newServers(t, clock.New(), address, 1)
 	require.NoError(t, exchangeAll(servers, newPost(t, address), true))
 	found, _ := servers.pools.Load(target)
-	kept, isPool := found.(*pool)
+	connectionPool, isPool := found.(*pool)
 	require.True(t, isPool)
-	kept.mutex.Lock()
-	idle := kept.idle
-	kept.idle = nil
-	kept.mutex.Unlock()
+	connectionPool.mutex.Lock()
+	idle := connectionPool.idle
+	connectionPool.idle = nil
+	connectionPool.mutex.Unlock()
 	require.Len(t, idle, 1)
-	chosen := idle[0]
-	close(chosenHere)
-	require.Eventually(t, func() bool { return chosen.client.Err() != nil }, time.Minute, time.Millisecond)
-	_, err := kept.exchange(context.Background(), chosen, newPost(t, address))
+	idleConnection := idle[0]
+	close(selected)
+	require.Eventually(t, func() bool { return idleConnection.client.Err() != nil }, time.Minute, time.Millisecond)
+	_, err := connectionPool.exchange(context.Background(), idleConnection, newPost(t, address))
 	require.True(t, IsErrNotWritten(err), "%v", err)
 	var failure *Error
 	require.ErrorAs(t, err, &failure)
 	require.True(t, failure.Reused)
-	require.Zero(t, servers.OpenConnections(target), "its place among the agreed connections is free again")
+	require.Zero(t, servers.OpenConnections(target), "the connection no longer counts towards the limit")
 }
 
-// Many requests at once never open more connections than were agreed; those for which there is none are told that they
-// were not sent. One too many would take a connection that another instance counts on.
-func TestAgreedConnectionsHold(t *testing.T) {
-	const agreed = 3
-	var open, most atomic.Int64
+// Concurrent requests never open more connections than this instance's share. Requests above it fail with an error that
+// says that they were not sent. A connection above the share would take one that another instance relies on.
+func TestConnectionLimitHolds(t *testing.T) {
+	const maxConnections = 3
+	var open, maxOpen atomic.Int64
 	release := make(chan struct{})
 	address := scriptedServer(t, func(connection net.Conn, reader *bufio.Reader) {
-		if now := open.Add(1); now > most.Load() {
-			most.Store(now)
+		if now := open.Add(1); now > maxOpen.Load() {
+			maxOpen.Store(now)
 		}
 		defer open.Add(-1)
 		for {
@@ -181,31 +182,31 @@
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	servers := newServers(t, clock.New(), address, agreed)
+	servers := newServers(t, clock.New(), address, maxConnections)
 	results := make(chan error, 20)
 	var sent sync.WaitGroup
 	for range 20 {
 		sent.Go(func() { results <- exchangeAll(servers, newPost(t, address), true) })
 	}
-	refused := 0
-	for range 20 - agreed {
+	rejected := 0
+	for range 20 - maxConnections {
 		err := <-results
 		require.ErrorIs(t, err, ErrConnectionLimitReached)
 		require.True(t, IsErrNotWritten(err))
-		refused++
+		rejected++
 	}
 	close(release)
 	sent.Wait()
-	for range agreed {
+	for range maxConnections {
 		require.NoError(t, <-results)
 	}
-	require.Equal(t, 20-agreed, refused)
-	require.LessOrEqual(t, most.Load(), int64(agreed))
+	require.Equal(t, 20-maxConnections, rejected)
+	require.LessOrEqual(t, maxOpen.Load(), int64(maxConnections))
 }
 
-// A connection that has been silent for longer than it is trusted may be dead without anyone having said so. A payment
-// does not go on it; a browse, which can be sent again, does.
-func TestPaymentGoesOnlyWhereLifeWasSeen(t *testing.T) {
+// An idle connection on which nothing has been received for longer than the freshness period may be dead without an error
+// on this side. A payment is not sent on it; a browsing request, which can be sent again, is.
+func TestPaymentUsesFreshConnection(t *testing.T) {
 	var connections atomic.Int64
 	address := scriptedServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		connections.Add(1)
@@ -222,7 +223,7 @@
 		freshOnly bool
 		want      int64
 	}{
-		{"browse after a long silence", 10 * clock.Second, false, 1},
+		{"browsing after a long silence", 10 * clock.Second, false, 1},
 		{"payment after a short silence", clock.Second / 2, true, 1},
 		{"payment after a long silence", 10 * clock.Second, true, 2},
 	}
@@ -240,8 +241,8 @@
 	}
 }
 
-// A caller that leaves an answer half read gives its connection up; the rest of that answer would be taken for the
-// start of the next one's.
+// Guards against reuse of a connection whose response was not read to the end: the rest of the response would be read as
+// the start of the next one.
 func TestHalfReadAnswerIsNotReused(t *testing.T) {
 	address := scriptedServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for number := 1; ; number++ {
@@ -267,7 +268,7 @@
 	}
 }
 
-// Unused connections are closed in time; removed servers' as well.
+// Idle connections are closed after the idle timeout. A removed server is unknown.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	address := scriptedServer(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
@@ -289,15 +290,15 @@
 	require.ErrorIs(t, exchangeAll(servers, newPost(t, address), true), ErrUnknownTarget)
 }
 
-// Load reports may be anything. A wrong one is an error that names the target and the step, and harms nothing else.
+// A malformed or invalid load report gives an error that names the target and the step.
 func TestReadReport(t *testing.T) {
 	cases := []struct{ name, text, problem string }{
-		{"whole", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + `{"startedMs":5,"inFlight":3  }`, ""},
+		{"complete", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + `{"startedMs":5,"inFlight":3  }`, ""},
 		{"not JSON", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n<<<<", "load report"},
 		{"below zero", "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n" + `{"inFlight":-1}`, "below zero"},
-		{"an error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "status 500"},
+		{"error status", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "status 500"},
 		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat(" ", 100000), "more than"},
-		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{", "unexpected EOF"},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{", "unexpected EOF"},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/backendserver/socket.go
+++ b/internal/backendserver/socket.go
@@ -11,8 +11,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// socket counts what passes over a connection, so that an error can tell whether a request left and a reuse can tell
-// how long ago the other end last showed life.
+// socket counts the bytes written to a connection and records the time of the last read. The count shows whether any byte
+// of a failed request was sent, the time shows whether an idle connection is fresh enough for reuse.
 type socket struct {
 	net.Conn
 	clock *clock.Clock
@@ -30,27 +30,27 @@
 	return count, err
 }
 
-// Write implements net.Conn. Bytes count as written before they are handed to the kernel: a write that fails half way
-// may have sent some of them.
+// Write implements net.Conn. Bytes are counted before they are passed to the kernel, since a write that fails part way may
+// have sent some of them.
 func (socket *socket) Write(buffer []byte) (int, error) {
 	socket.written.Add(int64(len(buffer)))
 	return socket.Conn.Write(buffer)
 }
 
-// lifeSince returns the time since the other end's last byte.
-func (socket *socket) lifeSince(now clock.Moment) clock.Milliseconds {
+// sinceLastRead returns the time since data was last received, or since the connection was opened.
+func (socket *socket) sinceLastRead(now clock.Moment) clock.Milliseconds {
 	return now.Since(clock.Moment(socket.lastRead.Load()))
 }
 
-// dial connects to a backend server. The kernel gives the connection up when sent bytes stay unacknowledged for
-// silentMost: something between the two ends may have lost track of it while new connections work, and without this
+// dial connects to a backend server. The kernel closes the connection when sent data remains unacknowledged for
+// userTimeout. A middlebox may have dropped the state of this connection while new connections work, and without this
 // limit a request on it would hang until its deadline.
-func dial(ctx context.Context, clock *clock.Clock, address string, silentMost clock.Milliseconds) (*socket, error) {
+func dial(ctx context.Context, clock *clock.Clock, address string, userTimeout clock.Milliseconds) (*socket, error) {
 	dialer := net.Dialer{
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var optionError error
 			err := raw.Control(func(descriptor uintptr) {
-				optionError = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentMost))
+				optionError = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout))
 			})
 			if err != nil {
 				return err
