--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,12 +1,12 @@
-// Package hangup takes SIGHUP from the first moments of the process on, for the commands that read their settings anew on it.
+// Package hangup receives SIGHUP from the start of the process, for the commands that reload their settings on it.
 //
-// Until a program has asked for the signal, it ends the process. An instance that has just been started could so be killed by the
-// word that its settings have changed: on a small share of a core the libraries alone take some 50 ms to initialise before main
-// begins. This package depends on nothing that takes time, so that it is initialised before them.
+// SIGHUP ends a process that has not yet registered for it. A signal to reload settings could thus kill an instance that is
+// starting: on a small share of a core, initialising the libraries alone takes about 50 ms before main begins. This package
+// depends on nothing that is slow to initialise, so that it is initialised before the libraries.
 //
 // # Usage
 //
-//	for range hangup.Signals() { ... read the settings anew ... }
+//	for range hangup.Signals() { ... reload the settings ... }
 package hangup
 
 import (
@@ -16,20 +16,22 @@
 	"syscall"
 )
 
-// commands are those that read settings anew. All others end on SIGHUP, as programs do whose terminal is closed.
-var commands = []string{"gateway"}
+// reloadingCommands are the commands that reload their settings on SIGHUP. All others end on it, as usual for programs whose
+// terminal is closed.
+var reloadingCommands = []string{"gateway"}
 
 var signals = listen()
 
 func listen() chan os.Signal {
 	signals := make(chan os.Signal, 1)
-	if len(os.Args) > 1 && slices.Contains(commands, os.Args[1]) {
+	if len(os.Args) > 1 && slices.Contains(reloadingCommands, os.Args[1]) {
 		signal.Notify(signals, syscall.SIGHUP)
 	}
 	return signals
 }
 
-// Signals returns the channel on which SIGHUP arrives. Of several that came before anyone listened, one is kept.
+// Signals returns the channel on which SIGHUP is delivered. Signals that arrive before the channel is read are merged into
+// one.
 func Signals() <-chan os.Signal {
 	return signals
 }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings change while an instance is being started, and the signal that says so ends it. The time for which it does is that
-// of initialising whatever this package depends on: nothing but the standard library.
+// Guards against SIGHUP ending an instance that is starting. It does so until this package and its dependencies are
+// initialised, so that the package must depend on nothing but the standard library.
 func TestNothingIsInitialisedBefore(t *testing.T) {
 	text, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	require.NoError(t, err)
--- a/internal/instance/heartbeat_transport.go
+++ b/internal/instance/heartbeat_transport.go
@@ -7,7 +7,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Names of the events of datagrams.
+// Names of the event counters for datagrams.
 const (
 	EventSent      = "datagram.sent"
 	EventSentBytes = "datagram.sentBytes"
@@ -17,18 +17,18 @@
 	EventSendError = "datagram.sendError"
 )
 
-// Options are what a Plane is made from.
+// Options configures a HeartbeatTransport.
 type Options struct {
-	// Address is where datagrams are taken, IP and port.
+	// Address is the IP address and port on which datagrams are received.
 	Address string
 	Keys    settings.Keys
-	// Deliver takes each heartbeat, on the event loop's goroutine; it must not block.
+	// Deliver is called for each heartbeat, on the goroutine of the event loop. It must not block.
 	Deliver func(Heartbeat)
-	// Events counts.
+	// Events holds the event counters.
 	Events *expvar.Map
 }
 
-// HeartbeatTransport sends and takes sealed heartbeats.
+// HeartbeatTransport sends and receives sealed heartbeats.
 type HeartbeatTransport struct {
 	*Transport
 
@@ -36,39 +36,39 @@
 	sealer  *Sealer
 }
 
-// NewHeartbeatTransport returns a plane that takes heartbeats once Serve runs.
+// NewHeartbeatTransport returns a transport that receives heartbeats once Serve runs.
 func NewHeartbeatTransport(options Options) (*HeartbeatTransport, error) {
 	sealer, err := NewSealer(options.Keys)
 	if err != nil {
 		return nil, err
 	}
-	plane := &HeartbeatTransport{options: options, sealer: sealer}
-	plane.Transport = NewTransport(TransportOptions{Address: options.Address, Deliver: plane.receive, Events: options.Events})
-	return plane, nil
+	heartbeatTransport := &HeartbeatTransport{options: options, sealer: sealer}
+	heartbeatTransport.Transport = NewTransport(TransportOptions{Address: options.Address, Deliver: heartbeatTransport.receive, Events: options.Events})
+	return heartbeatTransport, nil
 }
 
-// Send sends a heartbeat.
-func (plane *HeartbeatTransport) Send(peer netip.AddrPort, heartbeat Heartbeat) {
+// Send seals a heartbeat and sends it to a peer. A heartbeat that can't be encoded is counted as a send error.
+func (heartbeatTransport *HeartbeatTransport) Send(peer netip.AddrPort, heartbeat Heartbeat) {
 	message, err := encode(heartbeat)
 	if err != nil {
-		plane.options.Events.Add(EventSendError, 1)
+		heartbeatTransport.options.Events.Add(EventSendError, 1)
 		return
 	}
-	plane.Transport.Send(peer, plane.sealer.Seal(message))
+	heartbeatTransport.Transport.Send(peer, heartbeatTransport.sealer.Seal(message))
 }
 
-// receive opens one datagram.
-func (plane *HeartbeatTransport) receive(datagram []byte) {
-	message, err := plane.sealer.Open(datagram)
+// receive opens and decodes a datagram and delivers its heartbeat. Invalid datagrams are counted and dropped.
+func (heartbeatTransport *HeartbeatTransport) receive(datagram []byte) {
+	message, err := heartbeatTransport.sealer.Open(datagram)
 	if err != nil {
-		plane.options.Events.Add(EventNotSealed, 1)
+		heartbeatTransport.options.Events.Add(EventNotSealed, 1)
 		return
 	}
 	heartbeat, err := decode(message)
 	if err != nil {
-		plane.options.Events.Add(EventMalformed, 1)
+		heartbeatTransport.options.Events.Add(EventMalformed, 1)
 		return
 	}
-	plane.options.Events.Add(EventReceived, 1)
-	plane.options.Deliver(heartbeat)
+	heartbeatTransport.options.Events.Add(EventReceived, 1)
+	heartbeatTransport.options.Deliver(heartbeat)
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -23,8 +23,9 @@
 	return sealer
 }
 
-// Keys are replaced while the fleet runs: first all instances learn the new one, then all seal with it, then the old one
-// goes. At no point does an instance refuse another's datagrams; a stranger's are refused at every point.
+// A key is replaced while the fleet runs: first all instances get the new key, then all seal with it, then the old key is
+// removed. Instances at adjacent steps accept each other's datagrams. Datagrams sealed with a removed or an unknown key are
+// rejected.
 func TestKeysAreReplacedInSteps(t *testing.T) {
 	both := map[settings.KeyName]string{"old": oldKey, "new": newKey}
 	steps := []*Sealer{
@@ -42,12 +43,12 @@
 	}
 	_, err := steps[3].Open(steps[0].Seal([]byte("hello")))
 	require.ErrorIs(t, err, ErrSeal)
-	stranger := newSealer(t, "new", map[settings.KeyName]string{"new": oldKey})
-	_, err = steps[3].Open(stranger.Seal([]byte("hello")))
+	unknownSealer := newSealer(t, "new", map[settings.KeyName]string{"new": oldKey})
+	_, err = steps[3].Open(unknownSealer.Seal([]byte("hello")))
 	require.ErrorIs(t, err, ErrSeal)
 }
 
-// Any changed byte of a datagram makes it worthless.
+// A datagram with a changed byte, or a truncated one, is rejected.
 func TestChangedDatagramsAreRefused(t *testing.T) {
 	sealer := newSealer(t, "old", map[settings.KeyName]string{"old": oldKey})
 	datagram := sealer.Seal([]byte("hello"))
@@ -63,23 +64,23 @@
 	}
 }
 
-func TestHeartbeatPassesWhole(t *testing.T) {
+func TestHeartbeatIsDecodedAsEncoded(t *testing.T) {
 	heartbeat := Heartbeat{
 		From: "entry-1", Incarnation: 1764720000000, Sequence: 9, Leaving: true, Digest: 1 << 63,
 		Targets: []TargetStatus{{Target: 1 << 62, Warm: true}, {Target: 7, Owned: true}},
 	}
-	text, err := encode(heartbeat)
+	encoded, err := encode(heartbeat)
 	require.NoError(t, err)
-	got, err := decode(text)
+	got, err := decode(encoded)
 	require.NoError(t, err)
 	require.Equal(t, heartbeat, got)
 }
 
 func FuzzOpenAndDecode(f *testing.F) {
 	sealer := newSealer(f, "old", map[settings.KeyName]string{"old": oldKey})
-	text, err := encode(Heartbeat{From: "entry-1", Targets: []TargetStatus{{Target: 1}}})
+	encoded, err := encode(Heartbeat{From: "entry-1", Targets: []TargetStatus{{Target: 1}}})
 	require.NoError(f, err)
-	f.Add(text)
+	f.Add(encoded)
 	f.Add([]byte{0x9f, 0xff})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, message []byte) {
@@ -95,31 +96,31 @@
 	})
 }
 
-// runPlane starts a plane on loopback.
-func runPlane(t *testing.T, deliver func(Heartbeat)) (*HeartbeatTransport, *expvar.Map) {
+// runTransport starts a transport on loopback.
+func runTransport(t *testing.T, deliver func(Heartbeat)) (*HeartbeatTransport, *expvar.Map) {
 	events := (&expvar.Map{}).Init()
-	plane, err := NewHeartbeatTransport(Options{
+	transport, err := NewHeartbeatTransport(Options{
 		Address: "127.0.0.1:0", Keys: settings.Keys{SealWith: "old", Known: map[settings.KeyName]string{"old": oldKey}},
 		Deliver: deliver, Events: events,
 	})
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- plane.Serve(ctx) }()
-	_, err = plane.Address(ctx)
+	go func() { ended <- transport.Serve(ctx) }()
+	_, err = transport.Address(ctx)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		stop()
 		require.ErrorIs(t, <-ended, context.Canceled)
 	})
-	return plane, events
+	return transport, events
 }
 
-// Noise and strangers' datagrams arrive between good ones. They are counted, and the good ones pass.
-func TestPlanesExchangeHeartbeats(t *testing.T) {
+// Datagrams that are not sealed or hold no heartbeat are counted and dropped. Valid ones are delivered.
+func TestTransportsExchangeHeartbeats(t *testing.T) {
 	received := make(chan Heartbeat, 10)
-	receiver, events := runPlane(t, func(heartbeat Heartbeat) { received <- heartbeat })
-	sender, _ := runPlane(t, func(Heartbeat) {})
+	receiver, events := runTransport(t, func(heartbeat Heartbeat) { received <- heartbeat })
+	sender, _ := runTransport(t, func(Heartbeat) {})
 	address, err := receiver.Address(context.Background())
 	require.NoError(t, err)
 	noise, err := net.Dial("udp", address.String())
--- a/internal/instance/message.go
+++ b/internal/instance/message.go
@@ -7,35 +7,35 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// MaxTargets is the number of backend servers that one heartbeat speaks of; the others take their turn.
+// MaxTargets is the maximum number of backend servers in one heartbeat. The others follow in later heartbeats.
 const MaxTargets = 12
 
-// ErrInvalidMessage says that a datagram was sealed rightly but makes no sense.
+// ErrInvalidMessage is returned for a datagram that was sealed with a known key but does not hold a valid heartbeat.
 var ErrInvalidMessage = errors.New("message not understood")
 
-// Incarnation tells one run of an instance from the next: the wall clock's milliseconds at its start.
+// Incarnation identifies one run of an instance: the wall clock time of its start, in milliseconds.
 type Incarnation uint64
 
-// Sequence numbers the datagrams of one run.
+// Sequence is the number of a datagram within one run of its sender.
 type Sequence uint64
 
-// Digest stands for the revisions of all settings that an instance has applied.
+// Digest is a hash of the revisions of all settings that an instance has applied.
 type Digest uint64
 
-// TargetKey stands for a backend server's name: a hash of it, since names would make up most of a datagram.
+// TargetKey is a hash of a backend server's name. Heartbeats hold hashes, since names would make up most of a datagram.
 type TargetKey uint64
 
-// TargetStatus is what the sender knows of one backend server.
+// TargetStatus is the sender's view of one backend server.
 type TargetStatus struct {
 	_      struct{} `cbor:",toarray"`
 	Target TargetKey
-	// Warm says that it bears its full number of requests.
+	// Warm reports that the target has warmed up and accepts its full number of requests.
 	Warm bool
-	// Owned says that the sender answers for it.
+	// Owned reports that the sender owns the target: the owner warms it up and reads its load reports.
 	Owned bool
 }
 
-// Heartbeat is the one message between instances.
+// Heartbeat is the message that instances exchange.
 type Heartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	From        settings.InstanceName
@@ -46,8 +46,8 @@
 	Targets     []TargetStatus
 }
 
-// decoding is strict: what doesn't fit the message exactly was not written by an instance of this release.
-var decoding = func() cbor.DecMode {
+// decodeMode is strict: data that does not match the message exactly was not encoded by an instance of this release.
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements:  16,
 		MaxMapPairs:       16,
@@ -63,17 +63,17 @@
 }()
 
 func encode(heartbeat Heartbeat) ([]byte, error) {
-	text, err := cbor.Marshal(heartbeat)
-	return text, errors.Wrap(err, "encode heartbeat")
+	encoded, err := cbor.Marshal(heartbeat)
+	return encoded, errors.Wrap(err, "encode heartbeat")
 }
 
-func decode(text []byte) (Heartbeat, error) {
+func decode(encoded []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
-	if err := decoding.Unmarshal(text, &heartbeat); err != nil {
+	if err := decodeMode.Unmarshal(encoded, &heartbeat); err != nil {
 		return Heartbeat{}, errors.Wrapf(ErrInvalidMessage, "decode heartbeat: %v", err)
 	}
 	if heartbeat.From == "" || len(heartbeat.Targets) > MaxTargets {
-		return Heartbeat{}, errors.Wrap(ErrInvalidMessage, "no sender, or too many targets")
+		return Heartbeat{}, errors.Wrap(ErrInvalidMessage, "heartbeat without a sender or with too many targets")
 	}
 	return heartbeat, nil
 }
--- a/internal/instance/seal.go
+++ b/internal/instance/seal.go
@@ -11,17 +11,17 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ErrSeal says that a datagram was not sealed with a known key. Anyone who can reach the port can send such a thing.
+// ErrSeal is returned for a datagram that was not sealed with a known key. Any host that can reach the port can send one.
 var ErrSeal = errors.New("not sealed with a known key")
 
-// Sealer seals datagrams and opens them. A datagram is the length and name of its key, a random nonce, and the
-// sealed message; the key's name is authenticated as well.
+// Sealer seals and opens datagrams. A datagram consists of the length and name of its key, a random nonce, and the sealed
+// message. The name of the key is authenticated too.
 type Sealer struct {
 	sealWith settings.KeyName
 	ciphers  map[settings.KeyName]cipher.AEAD
 }
 
-// NewSealer returns a sealer for keys that have been checked.
+// NewSealer returns a sealer for validated keys.
 func NewSealer(keys settings.Keys) (*Sealer, error) {
 	sealer := &Sealer{sealWith: keys.SealWith, ciphers: map[settings.KeyName]cipher.AEAD{}}
 	for name, text := range keys.Known {
@@ -39,20 +39,20 @@
 	return sealer, nil
 }
 
-// Seal returns the datagram that carries message.
+// Seal returns a datagram that holds the sealed message.
 func (sealer *Sealer) Seal(message []byte) []byte {
 	name := string(sealer.sealWith)
 	datagram := make([]byte, 0, 1+len(name)+chacha20poly1305.NonceSizeX+len(message)+chacha20poly1305.Overhead)
 	datagram = append(datagram, byte(len(name)))
 	datagram = append(datagram, name...)
 	nonce := make([]byte, chacha20poly1305.NonceSizeX)
-	// The standard library's source of random bytes never fails.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(nonce)
 	datagram = append(datagram, nonce...)
 	return sealer.ciphers[sealer.sealWith].Seal(datagram, nonce, message, []byte(name))
 }
 
-// Open returns the message that a datagram carries. The error is ErrSeal.
+// Open returns the message of a sealed datagram. The error is ErrSeal.
 func (sealer *Sealer) Open(datagram []byte) ([]byte, error) {
 	if len(datagram) == 0 || len(datagram) < 1+int(datagram[0])+chacha20poly1305.NonceSizeX {
 		return nil, ErrSeal
--- a/internal/instance/seal_bench_test.go
+++ b/internal/instance/seal_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// BenchmarkDatagram measures making and reading one datagram, and reports its size.
+// BenchmarkDatagram measures encoding, sealing, opening and decoding one datagram, and reports its size.
 func BenchmarkDatagram(b *testing.B) {
 	for _, targets := range []int{0, MaxTargets} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
--- a/internal/instance/transport.go
+++ b/internal/instance/transport.go
@@ -14,97 +14,98 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// TransportOptions are what Datagrams are made from.
+// TransportOptions configures a Transport.
 type TransportOptions struct {
-	// Address is where datagrams are taken, IP and port.
+	// Address is the IP address and port on which datagrams are received.
 	Address string
-	// Deliver takes each datagram, on the event loop's goroutine; it must not block, nor keep the bytes.
+	// Deliver is called for each datagram, on the goroutine of the event loop. It must neither block nor retain the bytes.
 	Deliver func([]byte)
-	// Events counts.
+	// Events holds the event counters.
 	Events *expvar.Map
 }
 
-// Transport sends and takes datagrams on one port, whatever they hold.
+// Transport sends and receives datagrams of any content on one port.
 type Transport struct {
 	gnet.BuiltinEventEngine
 
-	options TransportOptions
-	booted  chan struct{}
-	once    sync.Once
+	options   TransportOptions
+	ready     chan struct{}
+	readyOnce sync.Once
 
 	mutex  sync.Mutex
 	sender net.PacketConn
 }
 
-// NewTransport returns a port that takes datagrams once Serve runs.
+// NewTransport returns a transport that receives datagrams once Serve runs.
 func NewTransport(options TransportOptions) *Transport {
-	return &Transport{options: options, booted: make(chan struct{})}
+	return &Transport{options: options, ready: make(chan struct{})}
 }
 
-// Serve takes datagrams until the context ends.
-func (datagrams *Transport) Serve(ctx context.Context) error {
-	engine := &engine{Transport: datagrams, up: make(chan gnet.Engine, 1)}
-	loop, endLoop := context.WithCancel(ctx)
-	stopping, endStopping := context.WithCancel(context.WithoutCancel(ctx))
-	defer endStopping()
+// Serve receives datagrams until the context is cancelled.
+func (transport *Transport) Serve(ctx context.Context) error {
+	engine := &engine{Transport: transport, started: make(chan gnet.Engine, 1)}
+	loopContext, cancelLoop := context.WithCancel(ctx)
+	stopContext, cancelStop := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelStop()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		<-loop.Done()
+		<-loopContext.Done()
 		select {
-		case running := <-engine.up:
-			// The loop may have ended by itself; nothing hangs on how it stopped.
-			_ = running.Stop(stopping)
+		case running := <-engine.started:
+			// The loop may already have ended by itself, and Serve does not depend on how it stopped.
+			_ = running.Stop(stopContext)
 		default:
 		}
 	}()
-	err := gnet.Run(engine, "udp://"+datagrams.options.Address, gnet.WithLogger(silentLogger{}), gnet.WithLogLevel(logging.ErrorLevel))
-	endLoop()
-	// Stop looks only twice a second whether the loop has ended.
-	endStopping()
+	err := gnet.Run(engine, "udp://"+transport.options.Address, gnet.WithLogger(silentLogger{}), gnet.WithLogLevel(logging.ErrorLevel))
+	cancelLoop()
+	// Stop checks only twice a second whether the loop has ended. Cancel it instead of waiting for the next check.
+	cancelStop()
 	<-done
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return errors.Wrapf(err, "take datagrams at %s", datagrams.options.Address)
+	return errors.Wrapf(err, "receive datagrams at %s", transport.options.Address)
 }
 
-// Address waits until datagrams are taken and returns where.
-func (datagrams *Transport) Address(ctx context.Context) (netip.AddrPort, error) {
+// Address waits until the port is open and returns its local address.
+func (transport *Transport) Address(ctx context.Context) (netip.AddrPort, error) {
 	select {
-	case <-datagrams.booted:
+	case <-transport.ready:
 	case <-ctx.Done():
 		return netip.AddrPort{}, errors.Wrap(ctx.Err(), "wait for the datagram port")
 	}
-	datagrams.mutex.Lock()
-	defer datagrams.mutex.Unlock()
-	return netip.ParseAddrPort(datagrams.sender.LocalAddr().String())
+	transport.mutex.Lock()
+	defer transport.mutex.Unlock()
+	return netip.ParseAddrPort(transport.sender.LocalAddr().String())
 }
 
-// Send sends a datagram. One that can't be sent is counted and forgotten, like one that is lost.
-func (datagrams *Transport) Send(peer netip.AddrPort, datagram []byte) {
-	datagrams.mutex.Lock()
-	sender := datagrams.sender
-	datagrams.mutex.Unlock()
+// Send sends a datagram to a peer. A datagram that can't be sent is counted and dropped, like one that the network loses. A
+// datagram is dropped without being counted while Serve does not run.
+func (transport *Transport) Send(peer netip.AddrPort, datagram []byte) {
+	transport.mutex.Lock()
+	sender := transport.sender
+	transport.mutex.Unlock()
 	if sender == nil {
 		return
 	}
 	if _, err := sender.WriteTo(datagram, net.UDPAddrFromAddrPort(peer)); err != nil {
-		datagrams.options.Events.Add(EventSendError, 1)
+		transport.options.Events.Add(EventSendError, 1)
 		return
 	}
-	datagrams.options.Events.Add(EventSentBytes, int64(len(datagram)))
-	datagrams.options.Events.Add(EventSent, 1)
+	transport.options.Events.Add(EventSentBytes, int64(len(datagram)))
+	transport.options.Events.Add(EventSent, 1)
 }
 
 // engine is one run of the event loop.
 type engine struct {
 	*Transport
-	up chan gnet.Engine
+	started chan gnet.Engine
 }
 
-// OnBoot implements gnet.EventHandler. Sending goes through a second handle on the same socket, because gnet sends
-// datagrams only in answer to one.
+// OnBoot implements gnet.EventHandler. It duplicates the descriptor of the socket for sending, because gnet sends datagrams
+// only in reply to a received one.
 func (engine *engine) OnBoot(running gnet.Engine) gnet.Action {
 	descriptor, err := running.Dup()
 	if err != nil {
@@ -119,8 +120,8 @@
 	engine.mutex.Lock()
 	engine.sender = sender
 	engine.mutex.Unlock()
-	engine.once.Do(func() { close(engine.booted) })
-	engine.up <- running
+	engine.readyOnce.Do(func() { close(engine.ready) })
+	engine.started <- running
 	return gnet.None
 }
 
@@ -144,7 +145,7 @@
 	return gnet.None
 }
 
-// silentLogger keeps gnet's own lines out of the log, where lines stand only for changes of state.
+// silentLogger discards gnet's own log lines, since the log records only changes of state.
 type silentLogger struct{}
 
 func (silentLogger) Debugf(string, ...any) {}
