--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -15,27 +15,29 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ErrInvalidResponse says that the platform's answer makes no sense.
-var ErrInvalidResponse = errors.New("answer not understood")
+// ErrInvalidResponse is returned for a response of the platform that is malformed, too large, has an unexpected status or
+// holds invalid values.
+var ErrInvalidResponse = errors.New("response not understood")
 
-// Client reads the platform. It is safe for concurrent use.
+// Client reads from the platform's services. It is safe for concurrent use.
 type Client struct {
 	settings settings.Platform
 	http     *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client for the addresses in the settings.
 func NewClient(platformSettings settings.Platform) *Client {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 2}
 	return &Client{settings: platformSettings, http: &http.Client{Transport: transport}}
 }
 
-// Close gives up idle connections.
+// Close closes idle connections.
 func (client *Client) Close() {
 	client.http.CloseIdleConnections()
 }
 
-// WatchKeys returns the keys of the configuration service once their index is above after, or when the wait is over.
+// WatchKeys returns the keys of the configuration service once their index is above after, or when the wait is over. The
+// error is an *Error.
 func (client *Client) WatchKeys(ctx context.Context, after Index) (Keys, error) {
 	text, err := client.watch(ctx, client.settings.ConfigurationAddress, KeysPath, after)
 	var keys Keys
@@ -45,14 +47,15 @@
 	return keys, wrap(StepKeys, client.settings.ConfigurationAddress, err)
 }
 
-// Value reads one document.
+// Value reads the document with the given key from the configuration service. The error is an *Error.
 func (client *Client) Value(ctx context.Context, key string) ([]byte, error) {
 	address := client.settings.ConfigurationAddress
 	text, err := client.get(ctx, url.URL{Scheme: "http", Host: address, Path: ValuesPath + key}, client.settings.Timeout, MaxValueBytes)
 	return text, wrap(StepValue, address, errors.Wrapf(err, "key %s", key))
 }
 
-// WatchInstances returns the list of instances once its index is above after, or when the wait is over.
+// WatchInstances returns the list of instances once its index is above after, or when the wait is over. The error is an
+// *Error.
 func (client *Client) WatchInstances(ctx context.Context, after Index) (InstanceList, error) {
 	text, err := client.watch(ctx, client.settings.InstancesAddress, InstancesPath, after)
 	var list InstanceList
@@ -67,7 +70,7 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return InstanceList{}, errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
-	return list, list.check()
+	return list, list.validate()
 }
 
 func parseKeys(text []byte) (Keys, error) {
@@ -76,7 +79,7 @@
 		return Keys{}, errors.Wrapf(ErrInvalidResponse, "%v", err)
 	}
 	if len(keys.Keys) == 0 {
-		return Keys{}, errors.Wrap(ErrInvalidResponse, "no keys at all")
+		return Keys{}, errors.Wrap(ErrInvalidResponse, "list of keys is empty")
 	}
 	return keys, nil
 }
@@ -89,10 +92,10 @@
 	return client.get(ctx, url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}, timeout, MaxListBytes)
 }
 
-func (client *Client) get(ctx context.Context, from url.URL, timeout clock.Milliseconds, most int64) ([]byte, error) {
+func (client *Client) get(ctx context.Context, location url.URL, timeout clock.Milliseconds, maxBytes int64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, from.String(), http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, location.String(), http.NoBody)
 	if err != nil {
 		return nil, err
 	}
@@ -104,9 +107,9 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.Wrapf(ErrInvalidResponse, "status %d", response.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = errors.Wrapf(ErrInvalidResponse, "more than %d bytes", most)
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBytes+1))
+	if err == nil && int64(len(text)) > maxBytes {
+		err = errors.Wrapf(ErrInvalidResponse, "more than %d bytes", maxBytes)
 	}
 	return text, err
 }
@@ -118,42 +121,42 @@
 	return &Error{Step: step, Peer: peer, Cause: cause}
 }
 
-// check refuses a list that can't be right. An empty one would take every backend server away at once, and nothing but
-// a fault of the platform empties it.
-func (list *InstanceList) check() error {
-	if len(list.Instances) == 0 {
-		return errors.Wrap(ErrInvalidResponse, "an empty list")
+// validate rejects a list that can't be correct. An empty list would remove every backend server at once, and only a fault
+// of the platform produces one.
+func (instanceList *InstanceList) validate() error {
+	if len(instanceList.Instances) == 0 {
+		return errors.Wrap(ErrInvalidResponse, "list of instances is empty")
 	}
-	names := make(map[string]bool, len(list.Instances))
-	for index := range list.Instances {
-		instance := &list.Instances[index]
-		if err := instance.check(); err != nil {
+	names := make(map[string]bool, len(instanceList.Instances))
+	for index := range instanceList.Instances {
+		instance := &instanceList.Instances[index]
+		if err := instance.validate(); err != nil {
 			return errors.Wrapf(err, "instances.%d", index)
 		}
 		if names[instance.Name] {
-			return errors.Wrapf(ErrInvalidResponse, "instances.%d: %q stands twice", index, instance.Name)
+			return errors.Wrapf(ErrInvalidResponse, "instances.%d: %q is listed twice", index, instance.Name)
 		}
 		names[instance.Name] = true
 	}
 	return nil
 }
 
-func (instance *Instance) check() error {
+func (instance *Instance) validate() error {
 	switch {
 	case instance.Name == "":
-		return errors.Wrap(ErrInvalidResponse, "no name")
+		return errors.Wrap(ErrInvalidResponse, "name is missing")
 	case instance.Kind != KindEntry && instance.Kind != KindBackendServer:
-		return errors.Wrapf(ErrInvalidResponse, "kind %q", instance.Kind)
+		return errors.Wrapf(ErrInvalidResponse, "unknown kind %q", instance.Kind)
 	case instance.State != StateLive && instance.State != StateLeaving:
-		return errors.Wrapf(ErrInvalidResponse, "state %q", instance.State)
+		return errors.Wrapf(ErrInvalidResponse, "unknown state %q", instance.State)
 	case instance.Kind == KindBackendServer && instance.Service == "":
-		return errors.Wrap(ErrInvalidResponse, "a backend server without a service")
+		return errors.Wrap(ErrInvalidResponse, "backend server without a service")
 	}
 	if _, err := netip.ParseAddrPort(instance.Address); err != nil {
-		return errors.Wrapf(ErrInvalidResponse, "address %q", instance.Address)
+		return errors.Wrapf(ErrInvalidResponse, "invalid address %q", instance.Address)
 	}
 	if _, err := netip.ParseAddrPort(instance.PeerAddress); instance.Kind == KindEntry && err != nil {
-		return errors.Wrapf(ErrInvalidResponse, "peerAddress %q", instance.PeerAddress)
+		return errors.Wrapf(ErrInvalidResponse, "invalid peerAddress %q", instance.PeerAddress)
 	}
 	return nil
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -33,20 +33,20 @@
 	return client
 }
 
-// The platform answers errors, garbage, nothing at all or nonsense. Each is an error that names the step and the peer,
-// so that nothing read before is given up for it.
+// A response of the platform that is malformed, empty or invalid gives an error that names the step and the address, so that
+// it never replaces what was read before.
 func TestWrongAnswersAreErrors(t *testing.T) {
 	cases := []struct{ name, text, problem string }{
 		{"no JSON", `<<<`, "invalid character"},
-		{"empty list", `{"index": 9, "instances": []}`, "an empty list"},
-		{"no name", `{"instances": [{"kind": "entry"}]}`, "instances.0: no name"},
-		{"unknown kind", `{"instances": [{"name": "a", "kind": "lamp"}]}`, `instances.0: kind "lamp"`},
-		{"unknown state", `{"instances": [{"name": "a", "kind": "entry", "state": "odd"}]}`, `state "odd"`},
-		{"no service", `{"instances": [{"name": "a", "kind": "backendServer", "state": "live"}]}`, "without a service"},
-		{"host name", `{"instances": [{"name": "a", "kind": "entry", "state": "live", "address": "host:80"}]}`, `address "host:80"`},
-		{"no peer address", `{"instances": [{"name": "a", "kind": "entry", "state": "live", "address": "1.2.3.4:80"}]}`, `peerAddress ""`},
+		{"empty list", `{"index": 9, "instances": []}`, "list of instances is empty"},
+		{"no name", `{"instances": [{"kind": "entry"}]}`, "instances.0: name is missing"},
+		{"unknown kind", `{"instances": [{"name": "a", "kind": "lamp"}]}`, `instances.0: unknown kind "lamp"`},
+		{"unknown state", `{"instances": [{"name": "a", "kind": "entry", "state": "odd"}]}`, `unknown state "odd"`},
+		{"no service", `{"instances": [{"name": "a", "kind": "backendServer", "state": "live"}]}`, "backend server without a service"},
+		{"host name", `{"instances": [{"name": "a", "kind": "entry", "state": "live", "address": "host:80"}]}`, `invalid address "host:80"`},
+		{"no peer address", `{"instances": [{"name": "a", "kind": "entry", "state": "live", "address": "1.2.3.4:80"}]}`, `invalid peerAddress ""`},
 		{"named twice", `{"instances": [{"name": "a", "kind": "backendServer", "service": "s", "state": "live", "address": "1.2.3.4:80"},
-			{"name": "a", "kind": "backendServer", "service": "s", "state": "live", "address": "1.2.3.4:80"}]}`, `"a" stands twice`},
+			{"name": "a", "kind": "backendServer", "service": "s", "state": "live", "address": "1.2.3.4:80"}]}`, `"a" is listed twice`},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -61,18 +61,18 @@
 }
 
 func TestFaultsOfThePlatform(t *testing.T) {
-	stand := platformtest.New()
-	stand.Publish("site", []byte("one"))
-	stand.SetInstance(entryOne)
-	client := newClient(t, stand)
+	fakePlatform := platformtest.New()
+	fakePlatform.Publish("site", []byte("one"))
+	fakePlatform.SetInstance(entryOne)
+	client := newClient(t, fakePlatform)
 	for _, fault := range []platformtest.Fault{platformtest.FaultDown, platformtest.FaultGarbage, platformtest.FaultEmpty} {
-		stand.SetFault(fault)
+		fakePlatform.SetFault(fault)
 		_, err := client.WatchKeys(context.Background(), 0)
 		require.Error(t, err)
 		_, err = client.WatchInstances(context.Background(), 0)
 		require.Error(t, err)
 	}
-	stand.SetFault(platformtest.FaultNone)
+	fakePlatform.SetFault(platformtest.FaultNone)
 	keys, err := client.WatchKeys(context.Background(), 0)
 	require.NoError(t, err)
 	require.Len(t, keys.Keys, 1)
@@ -83,15 +83,15 @@
 	require.ErrorIs(t, err, platform.ErrInvalidResponse)
 }
 
-// A watch is answered when something changes, and the watchers hand on each change once, the site before the services.
-// While the platform is down they hand on nothing, and when it is back they hand on what was missed.
-func TestWatchersHandOnChanges(t *testing.T) {
-	stand := platformtest.New()
-	stand.Publish("service/a", []byte("a1"))
-	stand.Publish(settings.SiteKey, []byte("s1"))
-	stand.SetInstance(entryOne)
+// A watch returns when something changes, and the watchers deliver each change once, the site's document before those of the
+// services. While the platform is down they deliver nothing, and after it recovers they deliver the changes of the outage.
+func TestWatchersDeliverChanges(t *testing.T) {
+	fakePlatform := platformtest.New()
+	fakePlatform.Publish("service/a", []byte("a1"))
+	fakePlatform.Publish(settings.SiteKey, []byte("s1"))
+	fakePlatform.SetInstance(entryOne)
 	events := (&expvar.Map{}).Init()
-	options := platform.WatchOptions{Client: newClient(t, stand), Events: events, Log: zerolog.Nop(), Jitter: func() float64 { return 0 }}
+	options := platform.WatchOptions{Client: newClient(t, fakePlatform), Events: events, Log: zerolog.Nop(), Jitter: func() float64 { return 0 }}
 	documents := make(chan string, 10)
 	lists := make(chan platform.InstanceList, 10)
 	ctx, stop := context.WithCancel(context.Background())
@@ -110,12 +110,12 @@
 	require.Equal(t, "service/a=a1", <-documents)
 	require.Len(t, (<-lists).Instances, 1)
 
-	stand.SetFault(platformtest.FaultDown)
-	stand.Publish("service/a", []byte("a2"))
+	fakePlatform.SetFault(platformtest.FaultDown)
+	fakePlatform.Publish("service/a", []byte("a2"))
 	entryTwo := entryOne
 	entryTwo.Name = "entry-2"
-	stand.SetInstance(entryTwo)
-	stand.SetFault(platformtest.FaultNone)
+	fakePlatform.SetInstance(entryTwo)
+	fakePlatform.SetFault(platformtest.FaultNone)
 	require.Equal(t, "service/a=a2", <-documents)
 	require.Len(t, (<-lists).Instances, 2)
 	stop()
@@ -124,7 +124,7 @@
 	require.Empty(t, documents)
 }
 
-// failingTransport stands for a platform that refuses every connection.
+// failingTransport simulates a platform that refuses every connection.
 type failingTransport struct {
 	reads int
 }
@@ -135,8 +135,8 @@
 	return nil, http.ErrServerClosed
 }
 
-// The platform is down for an hour. All instances together must not ask it more often than it can bear when it returns;
-// one of them asks less than once in two seconds.
+// The platform is down for an hour. The reads of all instances together must not overload it when it recovers: each instance
+// reads less than once in two seconds.
 func TestWatchersBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &failingTransport{}
--- a/internal/platform/package.go
+++ b/internal/platform/package.go
@@ -1,8 +1,8 @@
-// Package platform reads what the users' platform offers: the configuration service, and the list of live and leaving
-// instances. Both can only be read and watched.
+// Package platform is the client of the platform's services: the configuration service, and the list of live and leaving
+// instances. It only reads and watches them.
 //
-// A watch is a read that names the index it has already seen and is answered when there is a higher one, or when its
-// wait is over. A failure is an *Error that carries the step; nothing that was read before is lost by it.
+// A watch is a read with the index that the client already has. The platform responds when there is a higher index, or when
+// the wait is over. Failures are of type *Error, which holds the step; what was read before them stays in use.
 //
 // # Usage
 //
--- a/internal/platform/types.go
+++ b/internal/platform/types.go
@@ -6,33 +6,33 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Index counts the changes of one of the platform's collections.
+// Index is the version of one of the platform's collections: the number of its changes.
 type Index uint64
 
-// Paths of the platform's interface.
+// Paths and query parameters of the platform's HTTP interface.
 const (
 	KeysPath      = "/v1/keys"
 	ValuesPath    = "/v1/values/"
 	InstancesPath = "/v1/instances"
-	// AfterParameter names the index that the reader has seen.
+	// AfterParameter is the index that the client already has.
 	AfterParameter = "after"
-	// WaitParameter names how long a watch waits, in milliseconds.
+	// WaitParameter is the maximum time that a watch waits for a change, in milliseconds.
 	WaitParameter = "waitMs"
 )
 
-// Bounds of what is accepted from the platform, in bytes.
+// Maximum sizes of responses that are accepted from the platform, in bytes.
 const (
 	MaxValueBytes = 1 << 20
 	MaxListBytes  = 8 << 20
 )
 
-// Keys is the answer to a watch of the configuration service: each key with the index of its last change.
+// Keys is the response to a watch of the configuration service: each key with the index of its last change.
 type Keys struct {
 	Index Index            `json:"index"`
 	Keys  map[string]Index `json:"keys"`
 }
 
-// Kind tells what runs on an instance.
+// Kind is the kind of software that runs on an instance.
 type Kind string
 
 // The kinds of instances.
@@ -41,7 +41,7 @@
 	KindBackendServer Kind = "backendServer"
 )
 
-// State tells whether an instance takes part.
+// State says whether an instance is live or leaving.
 type State string
 
 // The states of an instance.
@@ -56,15 +56,15 @@
 	Kind       Kind                    `json:"kind"`
 	State      State                   `json:"state"`
 	DataCentre settings.DataCentreName `json:"dataCentre"`
-	// Address is where requests are sent, IP and port.
+	// Address is the IP address and port for requests.
 	Address string `json:"address"`
-	// PeerAddress is where an entry instance takes datagrams.
+	// PeerAddress is the IP address and port on which an entry instance receives datagrams.
 	PeerAddress string `json:"peerAddress,omitempty"`
-	// Service is the one that a backend server belongs to.
+	// Service is the service that a backend server belongs to.
 	Service settings.ServiceName `json:"service,omitempty"`
 }
 
-// InstanceList is the answer to a watch of the list of instances.
+// InstanceList is the response to a watch of the list of instances.
 type InstanceList struct {
 	Index     Index      `json:"index"`
 	Instances []Instance `json:"instances"`
@@ -80,10 +80,10 @@
 	StepInstances Step = "watch instances"
 )
 
-// Error is a failed read.
+// Error describes a failed read.
 type Error struct {
 	Step Step
-	// Peer is the address that was read from.
+	// Peer is the address of the platform's service.
 	Peer  string
 	Cause error
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -14,53 +14,53 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Events that watchers count.
+// Names of the event counters of watchers.
 const (
 	EventReads    = "platform.reads"
 	EventFailures = "platform.failures"
 )
 
-// Waits between reads that fail: doubled from the first to the last, so that a platform which comes back is not met by
-// everyone at once.
+// The backoff after failed reads starts at initialBackoff and doubles up to maxBackoff, so that not all instances read at
+// once from a platform that recovers.
 const (
-	firstBackoff = 100 * clock.Millisecond
-	lastBackoff  = 5 * clock.Second
+	initialBackoff = 100 * clock.Millisecond
+	maxBackoff     = 5 * clock.Second
 )
 
-// leastBetween is the time between two watches that succeed. A platform that answers watches at once, without a change,
-// would otherwise be asked as fast as it can answer.
-const leastBetween = 20 * clock.Millisecond
+// minWatchInterval is the pause between two successful watches. Without it, a platform that responds to watches immediately,
+// without a change, would be polled as fast as it responds.
+const minWatchInterval = 20 * clock.Millisecond
 
-// WatchOptions are what a watcher is made from.
+// WatchOptions configures a watcher.
 type WatchOptions struct {
 	Client *Client
 	Events *expvar.Map
 	Log    zerolog.Logger
-	// Jitter returns a random number from 0 to 1.
+	// Jitter returns a random number between 0 and 1 by which each backoff varies.
 	Jitter func() float64
 }
 
-// pacer spaces reads and tells of changes between success and failure.
+// pacer pauses between reads and logs the changes between success and failure.
 type pacer struct {
 	options  WatchOptions
-	what     string
+	source   string
 	failures int
 }
 
-// after notes how a read went and waits before the next one. The error is the context's.
-func (pacer *pacer) after(ctx context.Context, err error) error {
+// pause counts and logs the result of a read and waits until the next one is due. It returns the context's error.
+func (pacer *pacer) pause(ctx context.Context, err error) error {
 	pacer.options.Events.Add(EventReads, 1)
-	wait := leastBetween
+	wait := minWatchInterval
 	if err != nil {
 		pacer.options.Events.Add(EventFailures, 1)
 		if pacer.failures == 0 && ctx.Err() == nil {
-			pacer.options.Log.Warn().Err(err).Str("what", pacer.what).Msg("platform does not answer, what was read before stays")
+			pacer.options.Log.Warn().Err(err).Str("what", pacer.source).Msg("platform read failed, keeping what was read before")
 		}
-		wait = min(firstBackoff*clock.Milliseconds(int(1)<<min(pacer.failures, 10)), lastBackoff)
+		wait = min(initialBackoff*clock.Milliseconds(int(1)<<min(pacer.failures, 10)), maxBackoff)
 		wait = wait/2 + wait/2*clock.Milliseconds(pacer.options.Jitter())
 		pacer.failures++
 	} else if pacer.failures > 0 {
-		pacer.options.Log.Info().Str("what", pacer.what).Int("failures", pacer.failures).Msg("platform answers again")
+		pacer.options.Log.Info().Str("what", pacer.source).Int("failures", pacer.failures).Msg("platform read succeeded again")
 		pacer.failures = 0
 	}
 	select {
@@ -71,57 +71,59 @@
 	}
 }
 
-// ConfigurationWatcher reads every document when it changes.
+// ConfigurationWatcher reads each document of the configuration service when it changes.
 type ConfigurationWatcher struct {
-	pacer   pacer
-	deliver func(ctx context.Context, key string, text []byte) error
-	index   Index
-	seen    map[string]Index
+	pacer     pacer
+	deliver   func(ctx context.Context, key string, text []byte) error
+	index     Index
+	delivered map[string]Index
 }
 
-// NewConfigurationWatcher returns a watcher that gives each new document to deliver.
+// NewConfigurationWatcher returns a watcher that calls deliver for each new or changed document. A document for which
+// deliver returns an error is read and delivered again.
 func NewConfigurationWatcher(options WatchOptions, deliver func(ctx context.Context, key string, text []byte) error) *ConfigurationWatcher {
 	return &ConfigurationWatcher{
-		pacer:   pacer{options: options, what: "configuration"},
-		deliver: deliver,
-		seen:    map[string]Index{},
+		pacer:     pacer{options: options, source: "configuration"},
+		deliver:   deliver,
+		delivered: map[string]Index{},
 	}
 }
 
-// Serve watches until the context ends.
-func (watcher *ConfigurationWatcher) Serve(ctx context.Context) error {
+// Serve watches until the context is cancelled and returns the context's error.
+func (configurationWatcher *ConfigurationWatcher) Serve(ctx context.Context) error {
 	for {
-		if err := watcher.pacer.after(ctx, watcher.round(ctx)); err != nil {
+		if err := configurationWatcher.pacer.pause(ctx, configurationWatcher.poll(ctx)); err != nil {
 			return err
 		}
 	}
 }
 
-// round waits for a change and reads what changed. What could not be read is tried again in the next round.
-func (watcher *ConfigurationWatcher) round(ctx context.Context) error {
-	keys, err := watcher.pacer.options.Client.WatchKeys(ctx, watcher.index)
+// poll waits for a change and delivers the changed documents. Documents that could not be read or delivered are retried in
+// the next poll.
+func (configurationWatcher *ConfigurationWatcher) poll(ctx context.Context) error {
+	keys, err := configurationWatcher.pacer.options.Client.WatchKeys(ctx, configurationWatcher.index)
 	if err != nil {
 		return err
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(keys.Keys), siteFirst) {
-		if watcher.seen[key] == keys.Keys[key] {
+		if configurationWatcher.delivered[key] == keys.Keys[key] {
 			continue
 		}
-		text, err := watcher.pacer.options.Client.Value(ctx, key)
+		text, err := configurationWatcher.pacer.options.Client.Value(ctx, key)
 		if err != nil {
 			return err
 		}
-		watcher.pacer.options.Events.Add(EventReads, 1)
-		if err := watcher.deliver(ctx, key, text); err != nil {
+		configurationWatcher.pacer.options.Events.Add(EventReads, 1)
+		if err := configurationWatcher.deliver(ctx, key, text); err != nil {
 			return err
 		}
-		watcher.seen[key] = keys.Keys[key]
+		configurationWatcher.delivered[key] = keys.Keys[key]
 	}
-	watcher.index = keys.Index
+	configurationWatcher.index = keys.Index
 	return nil
 }
 
-// siteFirst orders keys so that the site's document comes before those that rest on it.
+// siteFirst compares keys so that the site's document sorts before the documents that depend on it.
 func siteFirst(left, right string) int {
 	switch {
 	case left == right:
@@ -142,31 +144,32 @@
 	index   Index
 }
 
-// NewInstanceListWatcher returns a watcher that gives each new list to deliver.
+// NewInstanceListWatcher returns a watcher that calls deliver for each changed list. A list for which deliver returns an
+// error is read and delivered again.
 func NewInstanceListWatcher(options WatchOptions, deliver func(ctx context.Context, list InstanceList) error) *InstanceListWatcher {
-	return &InstanceListWatcher{pacer: pacer{options: options, what: "list of instances"}, deliver: deliver}
+	return &InstanceListWatcher{pacer: pacer{options: options, source: "list of instances"}, deliver: deliver}
 }
 
-// Serve watches until the context ends.
-func (watcher *InstanceListWatcher) Serve(ctx context.Context) error {
+// Serve watches until the context is cancelled and returns the context's error.
+func (instanceListWatcher *InstanceListWatcher) Serve(ctx context.Context) error {
 	for {
-		if err := watcher.pacer.after(ctx, watcher.round(ctx)); err != nil {
+		if err := instanceListWatcher.pacer.pause(ctx, instanceListWatcher.poll(ctx)); err != nil {
 			return err
 		}
 	}
 }
 
-func (watcher *InstanceListWatcher) round(ctx context.Context) error {
-	list, err := watcher.pacer.options.Client.WatchInstances(ctx, watcher.index)
+func (instanceListWatcher *InstanceListWatcher) poll(ctx context.Context) error {
+	list, err := instanceListWatcher.pacer.options.Client.WatchInstances(ctx, instanceListWatcher.index)
 	if err != nil {
 		return err
 	}
-	if list.Index == watcher.index {
+	if list.Index == instanceListWatcher.index {
 		return nil
 	}
-	if err := watcher.deliver(ctx, list); err != nil {
+	if err := instanceListWatcher.deliver(ctx, list); err != nil {
 		return err
 	}
-	watcher.index = list.Index
+	instanceListWatcher.index = list.Index
 	return nil
 }
--- a/internal/platformtest/platform.go
+++ b/internal/platformtest/platform.go
@@ -1,13 +1,13 @@
-// Package platformtest has a small stand-in for the users' platform: a configuration service and a list of instances,
-// both readable and watchable over HTTP, and both able to fail as the real ones do.
+// Package platformtest provides a fake of the platform's services for tests: a configuration service and a list of instances,
+// which can be read and watched over HTTP and can fail like the real ones.
 //
 // # Usage
 //
-//	stand := platformtest.New()
-//	stand.Publish("site", text)
-//	stand.SetInstance(platform.Instance{...})
-//	server := httptest.NewServer(stand)
-//	stand.SetFault(platformtest.FaultDown)
+//	fake := platformtest.New()
+//	fake.Publish("site", text)
+//	fake.SetInstance(platform.Instance{...})
+//	server := httptest.NewServer(fake)
+//	fake.SetFault(platformtest.FaultDown)
 package platformtest
 
 import (
@@ -24,28 +24,28 @@
 	"github.com/jaywheel/jaywheel/internal/platform"
 )
 
-// Fault is a way in which the platform fails.
+// Fault is a failure mode of the platform.
 type Fault int32
 
-// The faults that the stand-in can show.
+// The faults that the fake can simulate.
 const (
-	// FaultNone answers rightly.
+	// FaultNone responds correctly.
 	FaultNone Fault = iota
-	// FaultDown answers 503.
+	// FaultDown responds with status 503.
 	FaultDown
-	// FaultGarbage answers text that is no JSON.
+	// FaultGarbage responds with invalid JSON.
 	FaultGarbage
-	// FaultStale answers with what was there when the fault began, and at once.
+	// FaultStale responds with the content from when the fault began and ignores later changes.
 	FaultStale
-	// FaultEmpty answers with empty collections and a high index.
+	// FaultEmpty responds with empty collections and a high index.
 	FaultEmpty
 )
 
-// Platform is the stand-in. It implements http.Handler and is safe for concurrent use.
+// Platform is the fake. It implements http.Handler and is safe for concurrent use.
 type Platform struct {
 	mutex     sync.Mutex
 	changed   chan struct{}
-	values    map[string]value
+	documents map[string]document
 	keyIndex  platform.Index
 	instances map[string]platform.Instance
 	listIndex platform.Index
@@ -56,88 +56,88 @@
 	reads atomic.Int64
 }
 
-type value struct {
+type document struct {
 	text  []byte
 	index platform.Index
 }
 
-// New returns a stand-in that holds nothing.
+// New returns a fake without documents and instances.
 func New() *Platform {
-	return &Platform{changed: make(chan struct{}), values: map[string]value{}, instances: map[string]platform.Instance{}}
+	return &Platform{changed: make(chan struct{}), documents: map[string]document{}, instances: map[string]platform.Instance{}}
 }
 
-// Publish sets a document, as operators do.
-func (stand *Platform) Publish(key string, text []byte) {
-	stand.change(func() {
-		stand.keyIndex++
-		stand.values[key] = value{text: slices.Clone(text), index: stand.keyIndex}
+// Publish adds or replaces a document, as an operator does.
+func (fake *Platform) Publish(key string, text []byte) {
+	fake.change(func() {
+		fake.keyIndex++
+		fake.documents[key] = document{text: slices.Clone(text), index: fake.keyIndex}
 	})
 }
 
-// SetInstance adds an instance or changes it.
-func (stand *Platform) SetInstance(instance platform.Instance) {
-	stand.change(func() {
-		stand.listIndex++
-		stand.instances[instance.Name] = instance
+// SetInstance adds or replaces an instance.
+func (fake *Platform) SetInstance(instance platform.Instance) {
+	fake.change(func() {
+		fake.listIndex++
+		fake.instances[instance.Name] = instance
 	})
 }
 
-// RemoveInstance takes an instance off the list.
-func (stand *Platform) RemoveInstance(name string) {
-	stand.change(func() {
-		stand.listIndex++
-		delete(stand.instances, name)
+// RemoveInstance removes an instance from the list.
+func (fake *Platform) RemoveInstance(name string) {
+	fake.change(func() {
+		fake.listIndex++
+		delete(fake.instances, name)
 	})
 }
 
-// SetFault makes the platform fail, or work again.
-func (stand *Platform) SetFault(fault Fault) {
-	stand.change(func() {
-		stand.staleKeys = stand.keys()
-		stand.staleList = stand.list()
-		stand.fault = fault
+// SetFault sets the fault that the fake simulates. FaultNone ends it.
+func (fake *Platform) SetFault(fault Fault) {
+	fake.change(func() {
+		fake.staleKeys = fake.keys()
+		fake.staleList = fake.list()
+		fake.fault = fault
 	})
 }
 
-// Reads returns the number of calls so far, a waiting watch counted as one.
-func (stand *Platform) Reads() int64 {
-	return stand.reads.Load()
+// Reads returns the number of requests so far. A watch counts as one, however long it waits.
+func (fake *Platform) Reads() int64 {
+	return fake.reads.Load()
 }
 
-// change applies an action and wakes every watch.
-func (stand *Platform) change(action func()) {
-	stand.mutex.Lock()
-	defer stand.mutex.Unlock()
+// change applies an action under the lock and wakes all watches.
+func (fake *Platform) change(action func()) {
+	fake.mutex.Lock()
+	defer fake.mutex.Unlock()
 	action()
-	close(stand.changed)
-	stand.changed = make(chan struct{})
+	close(fake.changed)
+	fake.changed = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler.
-func (stand *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	stand.reads.Add(1)
+func (fake *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	fake.reads.Add(1)
 	switch {
-	case stand.failed(writer):
+	case fake.failed(writer):
 	case request.URL.Path == platform.KeysPath:
-		stand.watch(writer, request, func() (platform.Index, any) {
-			keys := stand.keys()
+		fake.watch(writer, request, func() (platform.Index, any) {
+			keys := fake.keys()
 			return keys.Index, keys
 		})
 	case request.URL.Path == platform.InstancesPath:
-		stand.watch(writer, request, func() (platform.Index, any) {
-			list := stand.list()
+		fake.watch(writer, request, func() (platform.Index, any) {
+			list := fake.list()
 			return list.Index, list
 		})
 	default:
-		stand.serveValue(writer, request)
+		fake.serveValue(writer, request)
 	}
 }
 
-// failed answers as the current fault says, if there is one that does not depend on what was asked.
-func (stand *Platform) failed(writer http.ResponseWriter) bool {
-	stand.mutex.Lock()
-	defer stand.mutex.Unlock()
-	switch stand.fault {
+// failed responds to the request and returns true if the current fault does not depend on the path.
+func (fake *Platform) failed(writer http.ResponseWriter) bool {
+	fake.mutex.Lock()
+	defer fake.mutex.Unlock()
+	switch fake.fault {
 	case FaultDown:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return true
@@ -152,36 +152,36 @@
 	}
 }
 
-func (stand *Platform) serveValue(writer http.ResponseWriter, request *http.Request) {
+func (fake *Platform) serveValue(writer http.ResponseWriter, request *http.Request) {
 	key, found := strings.CutPrefix(request.URL.Path, platform.ValuesPath)
-	stand.mutex.Lock()
-	held, known := stand.values[key]
-	stand.mutex.Unlock()
+	fake.mutex.Lock()
+	stored, known := fake.documents[key]
+	fake.mutex.Unlock()
 	if !found || !known {
 		http.NotFound(writer, request)
 		return
 	}
-	_, _ = writer.Write(held.text)
+	_, _ = writer.Write(stored.text)
 }
 
-// watch answers once the collection's index is above the one that was asked for.
-func (stand *Platform) watch(writer http.ResponseWriter, request *http.Request, read func() (platform.Index, any)) {
+// watch responds once the collection's index is above the one in the request, or when the wait is over.
+func (fake *Platform) watch(writer http.ResponseWriter, request *http.Request, read func() (platform.Index, any)) {
 	query := request.URL.Query()
 	after, afterErr := strconv.ParseUint(query.Get(platform.AfterParameter), 10, 64)
 	wait, waitErr := strconv.ParseInt(query.Get(platform.WaitParameter), 10, 64)
 	if afterErr != nil || waitErr != nil {
-		http.Error(writer, "after and waitMs are whole numbers", http.StatusBadRequest)
+		http.Error(writer, "after and waitMs must be integers", http.StatusBadRequest)
 		return
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		stand.mutex.Lock()
-		index, answer := read()
-		changed := stand.changed
-		stand.mutex.Unlock()
+		fake.mutex.Lock()
+		index, response := read()
+		changed := fake.changed
+		fake.mutex.Unlock()
 		if index > platform.Index(after) {
-			writeJSON(writer, answer)
+			writeJSON(writer, response)
 			return
 		}
 		select {
@@ -192,35 +192,35 @@
 			return
 		}
 	}
-	stand.mutex.Lock()
-	_, answer := read()
-	stand.mutex.Unlock()
-	writeJSON(writer, answer)
+	fake.mutex.Lock()
+	_, response := read()
+	fake.mutex.Unlock()
+	writeJSON(writer, response)
 }
 
-func writeJSON(writer http.ResponseWriter, answer any) {
+func writeJSON(writer http.ResponseWriter, response any) {
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(answer)
+	_ = json.NewEncoder(writer).Encode(response)
 }
 
-func (stand *Platform) keys() platform.Keys {
-	if stand.fault == FaultStale {
-		return stand.staleKeys
+func (fake *Platform) keys() platform.Keys {
+	if fake.fault == FaultStale {
+		return fake.staleKeys
 	}
-	keys := platform.Keys{Index: stand.keyIndex, Keys: map[string]platform.Index{}}
-	for key, held := range stand.values {
-		keys.Keys[key] = held.index
+	keys := platform.Keys{Index: fake.keyIndex, Keys: map[string]platform.Index{}}
+	for key, stored := range fake.documents {
+		keys.Keys[key] = stored.index
 	}
 	return keys
 }
 
-func (stand *Platform) list() platform.InstanceList {
-	if stand.fault == FaultStale {
-		return stand.staleList
+func (fake *Platform) list() platform.InstanceList {
+	if fake.fault == FaultStale {
+		return fake.staleList
 	}
-	list := platform.InstanceList{Index: stand.listIndex, Instances: []platform.Instance{}}
-	for _, name := range slices.Sorted(maps.Keys(stand.instances)) {
-		list.Instances = append(list.Instances, stand.instances[name])
+	list := platform.InstanceList{Index: fake.listIndex, Instances: []platform.Instance{}}
+	for _, name := range slices.Sorted(maps.Keys(fake.instances)) {
+		list.Instances = append(list.Instances, fake.instances[name])
 	}
 	return list
 }
