--- a/internal/backendservertest/server.go
+++ b/internal/backendservertest/server.go
@@ -1,6 +1,6 @@
-// Package backendservertest has a stand-in for a backend server: an HTTP server on loopback with slots, a queue, a cold
-// start, and the ways in which a real one drains, sheds, slows down, fails fast and reports its load late or wrongly.
-// It counts what a balancer promises about: how often each request ran, and how many ran at once.
+// Package backendservertest provides a fake backend server for tests: an HTTP server on loopback with slots, a queue and a
+// cold start. It can drain, shed load, slow down, fail fast, and report its load late or wrongly, like a real one. It counts
+// what a load balancer guarantees: how often each request ran, and how many requests ran at once.
 //
 // # Usage
 //
@@ -29,71 +29,72 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// Headers and paths of the stand-in.
+// Headers, paths and query parameters of the fake.
 const (
-	// NotRunHeader tells that the server did not run the request.
+	// NotRunHeader is the response header which says that the server did not run the request.
 	NotRunHeader = "Not-Run"
-	// KeyHeader names the request whose runs are counted.
+	// KeyHeader is the request header with the key under which the runs of the request are counted.
 	KeyHeader = "Idempotency-Key"
-	// LoadPath is where the load report is read.
+	// LoadPath is the path of the load report.
 	LoadPath = "/load"
-	// HealthPath answers 200 unless the server drains.
+	// HealthPath is the path of the health check. It responds with status 200, or 503 while the server drains.
 	HealthPath = "/health"
-	// SizeParameter asks for an answer of so many bytes.
+	// SizeParameter is the size of the response body, in bytes.
 	SizeParameter = "size"
 )
 
-// keysCounted bounds how many keys' runs are remembered.
-const keysCounted = 1 << 20
+// maxCountedKeys is the maximum number of keys whose runs are counted.
+const maxCountedKeys = 1 << 20
 
-// overrunSlowdown is how much slower a cold server gets when it is given more than it bears.
-const overrunSlowdown = 10
+// overloadSlowdown multiplies the service time of a cold server that has more requests than its concurrency limit.
+const overloadSlowdown = 10
 
-// Options are what a stand-in is made from.
+// Options configures a Server.
 type Options struct {
 	Name  string
 	Slots int
-	// MaxQueued is how many requests wait for a slot before others are refused; 0 stands for 100.
+	// MaxQueued is the maximum number of requests that wait for a slot; further ones are rejected. 0 means 100.
 	MaxQueued int
-	// ServiceTime draws how long a request runs; nil stands for no time at all.
+	// ServiceTime returns a random service time for a request; nil means none.
 	ServiceTime func(*rand.Rand) clock.Milliseconds
-	// ColdLimit is how many requests it bears when it has just started, and FullAfter when it bears all.
+	// ColdLimit is the concurrency limit right after the start. It grows towards Slots during WarmupDuration; afterwards there
+	// is no limit. 0 means that there is no cold start.
 	ColdLimit      int
 	WarmupDuration clock.Milliseconds
 	Seed           uint64
-	// Run, when set, is called in the slot in place of waiting for ServiceTime.
+	// Run, if set, is called in the slot instead of waiting for ServiceTime.
 	Run func(*http.Request)
 }
 
-// Behaviour is how a stand-in departs from working well.
+// Behaviour describes the faults that a Server simulates. The zero value has none.
 type Behaviour struct {
-	// SlowdownFactor multiplies the service time; 0 stands for 1.
+	// SlowdownFactor multiplies the service time; 0 means 1.
 	SlowdownFactor float64
-	// FailFast answers 500 at once.
+	// FailFast responds immediately with status 500.
 	FailFast bool
-	// Draining refuses every request as not run.
+	// Draining rejects every request as not run.
 	Draining bool
-	// ReportFrozen repeats the report that was made first after it was set.
+	// ReportFrozen repeats the first load report made after it was set.
 	ReportFrozen bool
-	// ReportZeroLoad reports no load whatever there is.
+	// ReportZeroLoad reports no load, whatever the actual load is.
 	ReportZeroLoad bool
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server is a fake backend server. It is safe for concurrent use.
 type Server struct {
 	options  Options
 	listener net.Listener
 	http     *http.Server
 	slots    chan struct{}
 
-	inFlight atomic.Int64
-	queued   atomic.Int64
-	mostIn   atomic.Int64
-	overruns atomic.Int64
-	reports  atomic.Int64
-	runs     atomic.Int64
-	open     atomic.Int64
-	mostOpen atomic.Int64
+	inFlight    atomic.Int64
+	queued      atomic.Int64
+	maxInFlight atomic.Int64
+	overloads   atomic.Int64
+	reports     atomic.Int64
+	runs        atomic.Int64
+	open        atomic.Int64
+	maxOpen     atomic.Int64
 
 	mutex     sync.Mutex
 	random    *rand.Rand
@@ -103,11 +104,11 @@
 	runsByKey map[string]int
 }
 
-// Start listens on a free port of the loopback interface.
+// Start starts a server on a free port of the loopback interface.
 func Start(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "stand-in of a backend server")
+		return nil, errors.Wrap(err, "listen for the fake backend server")
 	}
 	if options.MaxQueued == 0 {
 		options.MaxQueued = 100
@@ -125,24 +126,25 @@
 	return server, nil
 }
 
-// Lognormal draws times with the given median and spread of the logarithm.
+// Lognormal returns a function that draws times from a log-normal distribution with the given median, where sigma is the
+// standard deviation of the logarithm.
 func Lognormal(median clock.Milliseconds, sigma float64) func(*rand.Rand) clock.Milliseconds {
 	return func(random *rand.Rand) clock.Milliseconds {
 		return median * clock.Milliseconds(math.Exp(sigma*random.NormFloat64()))
 	}
 }
 
-// Address is its IP number and port.
+// Address returns the IP address and port of the server.
 func (server *Server) Address() string {
 	return server.listener.Addr().String()
 }
 
-// Close ends it and every connection to it.
+// Close stops the server and closes all connections to it.
 func (server *Server) Close() {
 	_ = server.http.Close()
 }
 
-// SetBehaviour changes how it behaves.
+// SetBehaviour replaces the simulated faults and discards a frozen report.
 func (server *Server) SetBehaviour(behaviour Behaviour) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -150,48 +152,48 @@
 	server.frozen = nil
 }
 
-// ResetColdStart makes it cold, as after a restart under the same address.
+// ResetColdStart makes the server cold, as after a restart under the same address.
 func (server *Server) ResetColdStart() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.started = time.Now()
 }
 
-// RunsOf returns how often the request with the given key ran.
+// RunsOf returns the number of runs of the request with the given key.
 func (server *Server) RunsOf(key string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.runsByKey[key]
 }
 
-// Counts are what the stand-in has counted.
+// Counts holds the counters of a Server. Overloads is the number of requests that ran above the limit of a cold server.
 type Counts struct {
 	Runs, InFlight, MaxInFlight, Overloads, Reports, MaxConnections int64
 }
 
-// Counts returns what it has counted so far.
+// Counts returns the current counters.
 func (server *Server) Counts() Counts {
 	return Counts{
-		Runs: server.runs.Load(), InFlight: server.inFlight.Load(), MaxInFlight: server.mostIn.Load(),
-		Overloads: server.overruns.Load(), Reports: server.reports.Load(), MaxConnections: server.mostOpen.Load(),
+		Runs: server.runs.Load(), InFlight: server.inFlight.Load(), MaxInFlight: server.maxInFlight.Load(),
+		Overloads: server.overloads.Load(), Reports: server.reports.Load(), MaxConnections: server.maxOpen.Load(),
 	}
 }
 
 func (server *Server) countConnections(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		raise(&server.mostOpen, server.open.Add(1))
+		storeMax(&server.maxOpen, server.open.Add(1))
 	case http.StateClosed, http.StateHijacked:
 		server.open.Add(-1)
 	case http.StateActive, http.StateIdle:
 	}
 }
 
-// raise sets highest to value if it is higher.
-func raise(highest *atomic.Int64, value int64) {
+// storeMax sets maximum to value if value is higher.
+func storeMax(maximum *atomic.Int64, value int64) {
 	for {
-		before := highest.Load()
-		if value <= before || highest.CompareAndSwap(before, value) {
+		current := maximum.Load()
+		if value <= current || maximum.CompareAndSwap(current, value) {
 			return
 		}
 	}
@@ -203,7 +205,7 @@
 	case LoadPath:
 		server.serveReport(writer)
 	case HealthPath:
-		if server.now().Draining {
+		if server.currentBehaviour().Draining {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	default:
@@ -211,32 +213,32 @@
 	}
 }
 
-func (server *Server) now() Behaviour {
+func (server *Server) currentBehaviour() Behaviour {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.behaviour
 }
 
 func (server *Server) serveRequest(writer http.ResponseWriter, request *http.Request) {
-	behaviour := server.now()
+	behaviour := server.currentBehaviour()
 	if behaviour.FailFast {
 		http.Error(writer, "failing", http.StatusInternalServerError)
 		return
 	}
-	ctx, cancel := deadlineOf(request)
+	ctx, cancel := requestContext(request)
 	defer cancel()
-	if behaviour.Draining || !server.takeSlot(ctx) {
+	if behaviour.Draining || !server.acquireSlot(ctx) {
 		writer.Header().Set(NotRunHeader, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	defer func() { <-server.slots }()
 	server.run(ctx, behaviour, request)
-	server.answer(writer, request)
+	server.respond(writer, request)
 }
 
-// deadlineOf reads the time that the request's sender gives it.
-func deadlineOf(request *http.Request) (context.Context, context.CancelFunc) {
+// requestContext returns the request's context with the timeout from the request header, if there is one.
+func requestContext(request *http.Request) (context.Context, context.CancelFunc) {
 	milliseconds, err := strconv.Atoi(request.Header.Get(outcome.HeaderTimeout))
 	if err != nil {
 		return context.WithCancel(request.Context())
@@ -244,8 +246,8 @@
 	return context.WithTimeout(request.Context(), time.Duration(milliseconds)*time.Millisecond)
 }
 
-// takeSlot waits for a slot, unless the queue is full or nobody waits for the answer any more.
-func (server *Server) takeSlot(ctx context.Context) bool {
+// acquireSlot waits for a slot. It returns false if the queue is full or the context ends first.
+func (server *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case server.slots <- struct{}{}:
 		return true
@@ -263,25 +265,25 @@
 	}
 }
 
-// run does the work, which here is to count it and to take its time.
+// run counts the request and takes its service time, or calls Options.Run.
 func (server *Server) run(ctx context.Context, behaviour Behaviour, request *http.Request) {
 	inFlight := server.inFlight.Add(1)
 	defer server.inFlight.Add(-1)
-	raise(&server.mostIn, inFlight)
+	storeMax(&server.maxInFlight, inFlight)
 	server.runs.Add(1)
-	length := server.countRun(request.Header.Get(KeyHeader))
+	serviceTime := server.countRun(request.Header.Get(KeyHeader))
 	if behaviour.SlowdownFactor > 0 {
-		length *= clock.Milliseconds(behaviour.SlowdownFactor)
+		serviceTime *= clock.Milliseconds(behaviour.SlowdownFactor)
 	}
-	if inFlight+server.queued.Load() > int64(server.bears()) {
-		server.overruns.Add(1)
-		length *= overrunSlowdown
+	if inFlight+server.queued.Load() > int64(server.concurrencyLimit()) {
+		server.overloads.Add(1)
+		serviceTime *= overloadSlowdown
 	}
 	if server.options.Run != nil {
 		server.options.Run(request)
 		return
 	}
-	timer := time.NewTimer(length.Duration())
+	timer := time.NewTimer(serviceTime.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -289,11 +291,11 @@
 	}
 }
 
-// countRun counts a run and draws its time.
+// countRun counts a run of the request with the given key and returns a service time for it.
 func (server *Server) countRun(key string) clock.Milliseconds {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	if key != "" && len(server.runsByKey) < keysCounted {
+	if key != "" && len(server.runsByKey) < maxCountedKeys {
 		server.runsByKey[key]++
 	}
 	if server.options.ServiceTime == nil {
@@ -302,23 +304,24 @@
 	return server.options.ServiceTime(server.random)
 }
 
-// bears is how many requests, running and waiting, it bears now without falling over. Once warm it bears any number.
-func (server *Server) bears() int {
+// concurrencyLimit returns how many requests, running and queued, the server handles without slowing down. There is no limit
+// once it is warm.
+func (server *Server) concurrencyLimit() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	age := clock.Of(time.Since(server.started))
 	if server.options.ColdLimit == 0 || age >= server.options.WarmupDuration {
 		return math.MaxInt
 	}
-	grown := float64(server.options.Slots-server.options.ColdLimit) * float64(age/server.options.WarmupDuration)
-	return server.options.ColdLimit + int(grown)
+	added := float64(server.options.Slots-server.options.ColdLimit) * float64(age/server.options.WarmupDuration)
+	return server.options.ColdLimit + int(added)
 }
 
-func (server *Server) answer(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) respond(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set("Backend-Server", server.options.Name)
 	size, err := strconv.Atoi(request.URL.Query().Get(SizeParameter))
 	if err != nil {
-		size = len(smallAnswer)
+		size = len(smallResponse)
 	}
 	writer.Header().Set("Content-Length", strconv.Itoa(size))
 	for size > 0 {
@@ -330,12 +333,12 @@
 	}
 }
 
-const smallAnswer = "a small answer of 32 bytes here\n"
+const smallResponse = "a small answer of 32 bytes here\n"
 
 var filler = func() []byte {
 	text := make([]byte, 64<<10)
 	for index := range text {
-		text[index] = smallAnswer[index%len(smallAnswer)]
+		text[index] = smallResponse[index%len(smallResponse)]
 	}
 	return text
 }()
