--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -133,9 +133,9 @@
 		}
 		variant := load.Variant{Name: policy.text, Send: load.ThroughInstances(seedsOf(site))}
 		if !compareCommand.Quiet {
-			variant.During = func(ctx context.Context, round int) {
-				site.Make(ctx, name, sitetest.Noise{
-					Share: noiseShare, SlowBy: noiseSlow, Shortest: 50, Longest: 500, Seed: compareCommand.Seed + uint64(round),
+			variant.Background = func(ctx context.Context, round int) {
+				site.InjectNoise(ctx, name, sitetest.Noise{
+					Share: noiseShare, SlowdownFactor: noiseSlow, MinSlowInterval: 50, MaxSlowInterval: 500, Seed: compareCommand.Seed + uint64(round),
 				})
 			}
 		}
@@ -157,7 +157,7 @@
 
 func (compareCommand *compareCommand) startSite(example *settings.Site, policy comparedPolicy) (*sitetest.Site, error) {
 	name := settings.ServiceName(compareCommand.Service)
-	quick := sitetest.Quick(example, clock.Second)
+	quick := sitetest.WithShortIntervals(example, clock.Second)
 	quick.Fleet.InstancesPerService = policy.serving
 	quick.Fleet.HeartbeatEvery = 300 * clock.Millisecond
 	quick.Fleet.SuspectAfter = clock.Second
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	site, err := sitetest.Start(sitetest.Options{
-		Site: sitetest.Quick(example, clock.Second), Instances: loadCommand.Instances,
+		Site: sitetest.WithShortIntervals(example, clock.Second), Instances: loadCommand.Instances,
 		Targets: exampleTargets[loadCommand.Site], Seed: loadCommand.Seed, Log: zerolog.Nop(),
 		Server: func(settings.ServiceName) backendservertest.Options {
 			if loadCommand.ServiceTime == 0 {
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -9,8 +9,8 @@
 type Variant struct {
 	Name string
 	Send Sender
-	// During, when set, runs while the variant sends, and ends with its context.
-	During func(ctx context.Context, round int)
+	// Background, when set, runs while the variant sends, and ends with its context.
+	Background func(ctx context.Context, round int)
 }
 
 // Experiment compares variants, which take turns.
@@ -61,14 +61,14 @@
 
 // run sends while what goes on beside it does.
 func (variant Variant) run(ctx context.Context, round int, send func() *Measure) *Measure {
-	if variant.During == nil {
+	if variant.Background == nil {
 		return send()
 	}
 	beside, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		variant.During(beside, round)
+		variant.Background(beside, round)
 	}()
 	measured := send()
 	stop()
--- a/internal/sitetest/path_bench_test.go
+++ b/internal/sitetest/path_bench_test.go
@@ -25,7 +25,7 @@
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "../../examples/rodopa.sofia.json")
 	require.NoError(tb, err)
 	site, err := Start(Options{
-		Site: Quick(loaded.Site, 100*clock.Millisecond), Instances: instances, Targets: targets, Log: zerolog.Nop(), Seed: 1,
+		Site: WithShortIntervals(loaded.Site, 100*clock.Millisecond), Instances: instances, Targets: targets, Log: zerolog.Nop(), Seed: 1,
 	})
 	require.NoError(tb, err)
 	tb.Cleanup(site.Close)
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -316,8 +316,8 @@
 	}
 }
 
-// Quick returns a copy of settings whose backend servers warm up within moments, for runs that are about other things.
-func Quick(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
+// WithShortIntervals returns a copy of settings whose backend servers warm up within moments, for runs that are about other things.
+func WithShortIntervals(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
 	quick := *site
 	quick.Fleet.HeartbeatEvery = 50 * clock.Millisecond
 	quick.Fleet.SuspectAfter = 300 * clock.Millisecond
--- a/internal/sitetest/site_test.go
+++ b/internal/sitetest/site_test.go
@@ -19,7 +19,7 @@
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "../../examples/rodopa.sofia.json")
 	require.NoError(t, err)
 	site, err := Start(Options{
-		Site: Quick(loaded.Site, 100*clock.Millisecond), Instances: 3,
+		Site: WithShortIntervals(loaded.Site, 100*clock.Millisecond), Instances: 3,
 		Targets: map[settings.ServiceName]int{"browsing": 4, "booking": 3, "archive": 2},
 		Log:     zerolog.New(zerolog.NewTestWriter(t)), Seed: 1,
 	})
