--- a/internal/emulate/engine.go
+++ b/internal/emulate/engine.go
@@ -6,17 +6,18 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// engine does things in the order of their moments in virtual time; things of one moment in the order in which they were asked for.
+// engine runs actions in the order of their moments in virtual time. Actions of the same moment run in the order in which they
+// were scheduled.
 type engine struct {
-	clock *clock.Manual
-	queue eventQueue
-	asked int
+	clock     *clock.Manual
+	queue     eventQueue
+	scheduled int
 }
 
 type event struct {
-	at     clock.Moment
-	number int
-	do     func()
+	at       clock.Moment
+	sequence int
+	action   func()
 }
 
 func newEngine() *engine {
@@ -27,26 +28,26 @@
 	return engine.clock.Now()
 }
 
-// after has something done a while from now.
-func (engine *engine) after(length clock.Milliseconds, do func()) {
-	engine.at(engine.now().Add(max(length, 0)), do)
+// after schedules an action. A negative delay counts as 0.
+func (engine *engine) after(delay clock.Milliseconds, action func()) {
+	engine.at(engine.now().Add(max(delay, 0)), action)
 }
 
-func (engine *engine) at(moment clock.Moment, do func()) {
-	engine.asked++
-	heap.Push(&engine.queue, event{at: moment, number: engine.asked, do: do})
+func (engine *engine) at(moment clock.Moment, action func()) {
+	engine.scheduled++
+	heap.Push(&engine.queue, event{at: moment, sequence: engine.scheduled, action: action})
 }
 
-// run does everything up to a moment.
+// run runs all actions that are due up to the given moment, including those that they schedule.
 func (engine *engine) run(until clock.Moment) {
 	for len(engine.queue) > 0 && engine.queue[0].at <= until {
 		next, _ := heap.Pop(&engine.queue).(event)
 		engine.clock.Advance(next.at.Since(engine.now()))
-		next.do()
+		next.action()
 	}
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap of events, ordered by moment and sequence.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -57,7 +58,7 @@
 	if eventQueue[left].at != eventQueue[right].at {
 		return eventQueue[left].at < eventQueue[right].at
 	}
-	return eventQueue[left].number < eventQueue[right].number
+	return eventQueue[left].sequence < eventQueue[right].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/emulate/experiment.go
+++ b/internal/emulate/experiment.go
@@ -11,89 +11,93 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Experiment is a site, its load, and the variants that are compared on it with the same seeds.
+// Experiment describes a site, its load, and the variants that are compared with the same seeds.
 type Experiment struct {
 	Service Service `json:"service"`
 	Classes []Class `json:"classes"`
-	// Bursts multiply the arrivals of all classes for a while.
+	// Bursts multiply the arrival rates of all classes for a time.
 	Bursts []Burst `json:"bursts,omitempty"`
-	// Outages take a part of the targets away for a while.
+	// Outages make a part of the targets unavailable for a time.
 	Outages []Outage `json:"outages,omitempty"`
-	// Length is how long callers arrive, Settle the time at the start that does not count.
-	Length clock.Milliseconds `json:"length"`
-	Settle clock.Milliseconds `json:"settle"`
-	// Rounds is how often each variant is played, each time with the next seed.
+	// Duration is the time during which requests arrive. Requests that start before MeasureFrom are not counted.
+	Duration    clock.Milliseconds `json:"length"`
+	MeasureFrom clock.Milliseconds `json:"settle"`
+	// Rounds is the number of simulations of each variant. Each round uses the next seed.
 	Rounds   int       `json:"rounds"`
 	Seed     uint64    `json:"seed"`
 	Variants []Variant `json:"variants"`
 }
 
-// Service is the backend servers.
+// Service describes the backend servers.
 type Service struct {
 	Targets int `json:"targets"`
-	// Slots is the number of requests that a target runs at once, Queue how many more may wait there.
+	// Slots is the number of requests that a target runs at once, Queue the number that may wait there in addition.
 	Slots int `json:"slots"`
 	Queue int `json:"queue"`
-	// Above Knee, a share of the slots, a target is KneeTimes slower; a KneeTimes of 1 stands for none.
-	Knee      float64 `json:"knee"`
-	KneeTimes float64 `json:"kneeTimes"`
-	Noise     Noise   `json:"noise"`
+	// Above Knee, a fraction of the slots in use, a target is slower by the factor KneeSlowdown; 1 means no knee.
+	Knee         float64 `json:"knee"`
+	KneeSlowdown float64 `json:"kneeTimes"`
+	Noise        Noise   `json:"noise"`
 }
 
-// Noise is what neighbours on a target's machine do to it: for each spell it is slower with a chance.
+// Noise is the effect of other processes on the machine of a target: in each interval the target is slower by the factor
+// Slowdown with the probability SlowProbability.
 type Noise struct {
-	Share float64            `json:"share"`
-	Times float64            `json:"times"`
-	Every clock.Milliseconds `json:"every"`
-	// Kept says that a request keeps the pace at which it started, whatever becomes of its target's.
-	Kept bool `json:"kept,omitempty"`
+	SlowProbability float64            `json:"share"`
+	Slowdown        float64            `json:"times"`
+	Interval        clock.Milliseconds `json:"every"`
+	// FixedAtStart is true if a request keeps the slowdown that its target had when the request started.
+	FixedAtStart bool `json:"kept,omitempty"`
 }
 
-// Class is one kind of request.
+// Class describes one class of requests.
 type Class struct {
-	Name      settings.ClassName `json:"name"`
-	PerSecond float64            `json:"perSecond"`
-	// Work is how long a request takes on a calm target on average, Spread its deviation as a share.
-	Work     clock.Milliseconds `json:"work"`
-	Spread   float64            `json:"spread"`
-	Aim      clock.Milliseconds `json:"aim"`
-	Deadline clock.Milliseconds `json:"deadline"`
-	Priority settings.Priority  `json:"priority"`
-	// Returns is how often a caller comes back after a refusal.
-	Returns int `json:"returns"`
+	Name settings.ClassName `json:"name"`
+	// Rate is the mean number of new requests per second; arrivals are a Poisson process.
+	Rate float64 `json:"perSecond"`
+	// MeanServiceTime is the mean duration of a request on a target without slowdown, Deviation the standard deviation as a
+	// fraction of the mean.
+	MeanServiceTime clock.Milliseconds `json:"work"`
+	Deviation       float64            `json:"spread"`
+	SoftTimeout     clock.Milliseconds `json:"aim"`
+	Deadline        clock.Milliseconds `json:"deadline"`
+	Priority        settings.Priority  `json:"priority"`
+	// MaxRetries is the number of times that a caller retries after a rejection.
+	MaxRetries int `json:"returns"`
 }
 
-// Burst is a time of more arrivals.
+// Burst is a time during which the arrival rates are multiplied by Factor. Start counts from the start of the simulation.
 type Burst struct {
-	At    clock.Milliseconds `json:"at"`
-	For   clock.Milliseconds `json:"for"`
-	Times float64            `json:"times"`
+	Start    clock.Milliseconds `json:"at"`
+	Duration clock.Milliseconds `json:"for"`
+	Factor   float64            `json:"times"`
 }
 
-// Outage is a time in which a share of the targets is known to be gone.
+// Outage is a time during which a fraction of the targets is unavailable, and the schedulers know it.
 type Outage struct {
-	At    clock.Milliseconds `json:"at"`
-	For   clock.Milliseconds `json:"for"`
-	Share float64            `json:"share"`
+	Start       clock.Milliseconds `json:"at"`
+	Duration    clock.Milliseconds `json:"for"`
+	TargetShare float64            `json:"share"`
 }
 
-// Variant is one way of running the site.
+// Variant is one configuration of the site's instances.
 type Variant struct {
 	Name string `json:"name"`
-	// Instances is the number that serve.
+	// Instances is the number of instances that serve the service.
 	Instances int `json:"instances"`
-	// TellAfter is how long a reading is under way from a target's owner to another instance.
-	TellAfter clock.Milliseconds `json:"tellAfter"`
-	// Blind instances take no readings but those that come with answers.
-	Blind bool `json:"blind,omitempty"`
-	// Knowing instances read every target anew all the time: with one of them, no policy can know more.
-	Knowing bool `json:"knowing,omitempty"`
+	// ReadingDelay is the time that a load reading takes from the owner of a target to another instance.
+	ReadingDelay clock.Milliseconds `json:"tellAfter"`
+	// ProbesDisabled means that the only load readings are those that come with responses.
+	ProbesDisabled bool `json:"blind,omitempty"`
+	// ContinuousProbes means that every target is probed all the time, also with ProbesDisabled. With a single instance this is
+	// the upper bound of what a policy can know.
+	ContinuousProbes bool `json:"knowing,omitempty"`
 }
 
-// ErrExperiment says that an experiment makes no sense.
+// ErrExperiment means that an experiment is invalid or can't be read.
 var ErrExperiment = errors.New("experiment")
 
-// LoadExperiment reads and checks a file.
+// LoadExperiment reads an experiment from a JSON file and checks it. The error is ErrExperiment.
 func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -108,22 +112,22 @@
 	return experiment, errors.Wrap(experiment.Check(), path)
 }
 
-// Check reports the first thing that makes no sense. The error is ErrExperiment.
+// Check returns an error for the first field with an invalid value. The error is ErrExperiment.
 func (experiment *Experiment) Check() error {
 	service := &experiment.Service
 	checks := []struct {
 		field string
-		right bool
+		valid bool
 	}{
 		{"service.targets", service.Targets > 0},
 		{"service.slots", service.Slots > 0},
 		{"service.queue", service.Queue >= 0},
 		{"service.knee", service.Knee > 0 && service.Knee <= 1},
-		{"service.kneeTimes", service.KneeTimes >= 1},
-		{"service.noise.share", service.Noise.Share >= 0 && service.Noise.Share <= 1},
-		{"service.noise.times", service.Noise.Times >= 1},
-		{"service.noise.every", service.Noise.Every >= stepLeast},
-		{"length", experiment.Length > experiment.Settle},
+		{"service.kneeTimes", service.KneeSlowdown >= 1},
+		{"service.noise.share", service.Noise.SlowProbability >= 0 && service.Noise.SlowProbability <= 1},
+		{"service.noise.times", service.Noise.Slowdown >= 1},
+		{"service.noise.every", service.Noise.Interval >= minNoiseInterval},
+		{"length", experiment.Duration > experiment.MeasureFrom},
 		{"rounds", experiment.Rounds > 0},
 		{"classes", len(experiment.Classes) > 0},
 		{"variants", len(experiment.Variants) > 0},
@@ -132,27 +136,28 @@
 		class := &experiment.Classes[index]
 		checks = append(checks, struct {
 			field string
-			right bool
+			valid bool
 		}{"classes." + string(class.Name), class.valid()})
 	}
 	for _, variant := range experiment.Variants {
 		checks = append(checks, struct {
 			field string
-			right bool
+			valid bool
 		}{"variants." + variant.Name + ".instances", variant.Instances > 0})
 	}
 	for _, check := range checks {
-		if !check.right {
-			return errors.Wrapf(ErrExperiment, "%s makes no sense", check.field)
+		if !check.valid {
+			return errors.Wrapf(ErrExperiment, "%s has an invalid value", check.field)
 		}
 	}
 	return nil
 }
 
 func (class *Class) valid() bool {
-	return class.Name != "" && class.PerSecond > 0 && class.Work > 0 && class.Spread >= 0 && class.Aim > 0 && class.Deadline >= class.Aim &&
-		class.Returns >= 0 && class.Priority >= 0 && class.Priority <= settings.LowestPriority
+	return class.Name != "" && class.Rate > 0 && class.MeanServiceTime > 0 && class.Deviation >= 0 &&
+		class.SoftTimeout > 0 && class.Deadline >= class.SoftTimeout && class.MaxRetries >= 0 &&
+		class.Priority >= 0 && class.Priority <= settings.LowestPriority
 }
 
-// stepLeast is the shortest spell of noise.
-const stepLeast = 10 * clock.Millisecond
+// minNoiseInterval is the shortest allowed noise interval.
+const minNoiseInterval = 10 * clock.Millisecond
--- a/internal/emulate/package.go
+++ b/internal/emulate/package.go
@@ -1,12 +1,14 @@
-// Package emulate plays a site in virtual time, in one process and from a seed, against the very schedulers that place
-// requests. Decisions can so be compared in seconds, under loads and troubles that a test of real processes would take hours for.
+// Package emulate simulates a site in virtual time, in one process, with a seeded random source. The schedulers are the real
+// ones. Scheduling decisions can be compared in seconds, under loads and failures for which a test of real processes would
+// take hours.
 //
-// Backend servers have slots, a queue, a knee above which they slow down, and noise that makes them several times slower for a spell.
-// Callers arrive at random whatever became of those before, differ in patience, and come back after a refusal. Instances see
-// their own requests at first hand and everything else by readings, which their owners take and tell the others.
+// Backend servers have slots, a queue, a knee above which they slow down, and noise that makes them several times slower for
+// fixed intervals. Callers arrive at random, independently of the results of earlier requests. They have different timeouts and
+// retry after a rejection. An instance knows the requests that it sent itself directly, and all others by load readings, which
+// the owner of a target takes and sends to the other instances.
 //
-// What is not modelled: second copies and other attempts within one request, connections, lost answers, and instances that come
-// and go. They are played with real processes.
+// Not modelled are hedged requests and other further attempts within one request, connections, lost responses, and instances
+// that join and leave. They are tested with real processes.
 //
 // # Usage
 //
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -15,83 +15,83 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ending is how a caller's request ended.
-type ending int
+// requestResult is the final result of a caller's request, including its retries.
+type requestResult int
 
 const (
-	endedInTime ending = iota
-	endedLate
-	endedRefused
-	endedExpired
-	endings
+	resultInTime requestResult = iota
+	resultLate
+	resultRefused
+	resultExpired
+	resultCount
 )
 
-// Tally counts how requests ended.
+// Tally counts the results of requests.
 type Tally struct {
-	byClass map[settings.ClassName]*[endings]int
-	measure *load.Measure
-	// heldLongest is how long a refused request was held at most.
-	heldLongest clock.Milliseconds
+	byClass map[settings.ClassName]*[resultCount]int
+	stats   *load.Stats
+	// maxRefusalDelay is the longest time from the arrival of a request at an instance to its rejection.
+	maxRefusalDelay clock.Milliseconds
 }
 
 func newTally() *Tally {
-	return &Tally{byClass: map[settings.ClassName]*[endings]int{}, measure: load.NewMeasure()}
+	return &Tally{byClass: map[settings.ClassName]*[resultCount]int{}, stats: load.NewStats()}
 }
 
-func (tally *Tally) counts(class settings.ClassName) *[endings]int {
+func (tally *Tally) counts(class settings.ClassName) *[resultCount]int {
 	if tally.byClass[class] == nil {
-		tally.byClass[class] = &[endings]int{}
+		tally.byClass[class] = &[resultCount]int{}
 	}
 	return tally.byClass[class]
 }
 
-// count adds one request. latency is that of an answer.
-func (tally *Tally) count(class settings.ClassName, ended ending, latency clock.Milliseconds) {
-	tally.counts(class)[ended]++
-	switch ended {
-	case endedInTime, endedLate:
-		tally.measure.Record(class, latency, outcome.Answered)
-	case endedRefused:
-		tally.measure.Record(class, latency, outcome.NotRun)
-	case endedExpired, endings:
-		tally.measure.Record(class, latency, outcome.Unknown)
+// count adds one request. latency is recorded only for a request with a response.
+func (tally *Tally) count(class settings.ClassName, result requestResult, latency clock.Milliseconds) {
+	tally.counts(class)[result]++
+	switch result {
+	case resultInTime, resultLate:
+		tally.stats.Record(class, latency, outcome.Answered)
+	case resultRefused:
+		tally.stats.Record(class, latency, outcome.NotRun)
+	case resultExpired, resultCount:
+		tally.stats.Record(class, latency, outcome.Unknown)
 	}
 }
 
-func (tally *Tally) held(length clock.Milliseconds) {
-	tally.heldLongest = max(tally.heldLongest, length)
+func (tally *Tally) recordRefusalDelay(length clock.Milliseconds) {
+	tally.maxRefusalDelay = max(tally.maxRefusalDelay, length)
 }
 
 func (tally *Tally) merge(other *Tally) {
 	for class, counts := range other.byClass {
-		for ended, number := range counts {
-			tally.counts(class)[ended] += number
+		for result, number := range counts {
+			tally.counts(class)[result] += number
 		}
 	}
-	tally.measure.Merge(other.measure)
-	tally.heldLongest = max(tally.heldLongest, other.heldLongest)
+	tally.stats.Merge(other.stats)
+	tally.maxRefusalDelay = max(tally.maxRefusalDelay, other.maxRefusalDelay)
 }
 
-// InTime is the part of a class's requests that were answered in time; an empty class stands for all.
-func (tally *Tally) InTime(class settings.ClassName) float64 { return tally.share(class, endedInTime) }
+// InTime returns the fraction of a class's requests with a response within the soft timeout. An empty class means all classes.
+func (tally *Tally) InTime(class settings.ClassName) float64 { return tally.share(class, resultInTime) }
 
-// Late requests were answered after the time within which an answer is worth most.
-func (tally *Tally) Late(class settings.ClassName) float64 { return tally.share(class, endedLate) }
+// Late returns the fraction of requests with a response after the soft timeout.
+func (tally *Tally) Late(class settings.ClassName) float64 { return tally.share(class, resultLate) }
 
-// Refused requests ran nowhere.
+// Refused returns the fraction of requests that were rejected and did not run.
 func (tally *Tally) Refused(class settings.ClassName) float64 {
-	return tally.share(class, endedRefused)
+	return tally.share(class, resultRefused)
 }
 
-// Expired requests had no answer within their caller's time.
+// Expired returns the fraction of requests without a response before the caller's deadline.
 func (tally *Tally) Expired(class settings.ClassName) float64 {
-	return tally.share(class, endedExpired)
+	return tally.share(class, resultExpired)
 }
 
-// HeldLongest is how long a request that was refused in the end was held at most.
-func (tally *Tally) HeldLongest() clock.Milliseconds { return tally.heldLongest }
+// MaxRefusalDelay returns the longest time from the arrival of a request at an instance to its rejection.
+func (tally *Tally) MaxRefusalDelay() clock.Milliseconds { return tally.maxRefusalDelay }
 
-func (tally *Tally) share(class settings.ClassName, ended ending) float64 {
+func (tally *Tally) share(class settings.ClassName, result requestResult) float64 {
 	sum, matching := 0, 0
 	for name, counts := range tally.byClass {
 		if class != "" && class != name {
@@ -99,7 +99,7 @@
 		}
 		for index, number := range counts {
 			sum += number
-			if ending(index) == ended {
+			if requestResult(index) == result {
 				matching += number
 			}
 		}
@@ -107,53 +107,54 @@
 	return float64(matching) / float64(max(sum, 1))
 }
 
-// Result is what an experiment showed, by variant.
+// Result contains the results of an experiment by variant.
 type Result struct {
 	Variants []VariantResult
 }
 
-// VariantResult is one variant over all rounds.
+// VariantResult contains the results of one variant: Total over all rounds, and Rounds for each round.
 type VariantResult struct {
 	Name   string
-	Whole  *Tally
+	Total  *Tally
 	Rounds []*Tally
 }
 
-// Run plays every variant with the same seeds.
+// Run simulates every variant with the same seeds.
 func Run(experiment *Experiment) Result {
 	var result Result
 	for index := range experiment.Variants {
-		variant := VariantResult{Name: experiment.Variants[index].Name, Whole: newTally()}
+		variant := VariantResult{Name: experiment.Variants[index].Name, Total: newTally()}
 		for round := range experiment.Rounds {
-			tally := play(experiment, &experiment.Variants[index], experiment.Seed+uint64(round))
+			tally := simulate(experiment, &experiment.Variants[index], experiment.Seed+uint64(round))
 			variant.Rounds = append(variant.Rounds, tally)
-			variant.Whole.merge(tally)
+			variant.Total.merge(tally)
 		}
 		result.Variants = append(result.Variants, variant)
 	}
 	return result
 }
 
-// WriteText writes a table: each variant by class, and the spread of its share in time over the rounds.
+// WriteText writes a table: each variant by class, with the lowest and highest fraction in time of all rounds.
 func (result Result) WriteText(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "variant\tclass\tinTime\tlate\trefused\texpired\tleast inTime\tmost inTime\theld (ms)")
 	for _, variant := range result.Variants {
-		classes := append([]settings.ClassName{""}, slices.Sorted(maps.Keys(variant.Whole.byClass))...)
+		classes := append([]settings.ClassName{""}, slices.Sorted(maps.Keys(variant.Total.byClass))...)
 		for _, class := range classes {
 			name := string(class)
 			if class == "" {
 				name = "all"
 			}
-			least, most := variant.spread(class)
-			fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\n", variant.Name, name, variant.Whole.InTime(class),
-				variant.Whole.Late(class), variant.Whole.Refused(class), variant.Whole.Expired(class), least, most, float64(variant.Whole.heldLongest))
+			lowest, highest := variant.inTimeRange(class)
+			fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\n", variant.Name, name, variant.Total.InTime(class),
+				variant.Total.Late(class), variant.Total.Refused(class), variant.Total.Expired(class), lowest, highest,
+				float64(variant.Total.maxRefusalDelay))
 		}
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-func (variant VariantResult) spread(class settings.ClassName) (least, most float64) {
+func (variant VariantResult) inTimeRange(class settings.ClassName) (lowest, highest float64) {
 	shares := make([]float64, 0, len(variant.Rounds))
 	for _, round := range variant.Rounds {
 		shares = append(shares, round.InTime(class))
@@ -161,13 +162,13 @@
 	return slices.Min(shares), slices.Max(shares)
 }
 
-// WriteFiles writes latencies as report.txt, report.json and report.svg into a directory.
+// WriteFiles writes the latencies to report.txt, report.json and report.svg in the directory, which is created if necessary.
 func (result Result) WriteFiles(directory string) error {
 	var report load.Result
 	for _, variant := range result.Variants {
-		entry := load.VariantResult{Name: variant.Name, Whole: variant.Whole.measure}
+		entry := load.VariantResult{Name: variant.Name, Total: variant.Total.stats}
 		for _, round := range variant.Rounds {
-			entry.Rounds = append(entry.Rounds, round.measure)
+			entry.Rounds = append(entry.Rounds, round.stats)
 		}
 		report.Variants = append(report.Variants, entry)
 	}
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -11,331 +11,333 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Ways of a request and of control, as they are on the users' platform.
+// Delays and intervals of requests and probes, as on the users' platform.
 const (
-	// reach is the time from a caller's decision to ask until its request is at the instance, on a new connection, and back the time
-	// of an answer. Callers are 8 ms away.
-	reach = 24 * clock.Millisecond
-	back  = 8 * clock.Millisecond
-	// hop is the time from an instance to a target.
-	hop = 1 * clock.Millisecond
-	// sweepEvery is how often waiting requests are looked after.
-	sweepEvery = 10 * clock.Millisecond
-	// probeLearning and probeUnknown are the pauses between probes while a cadence is learnt and where there is none to be learnt.
-	probeLearning = 30 * clock.Millisecond
-	probeUnknown  = 45 * clock.Millisecond
-	// knowingEvery is the pause of instances that read everything anew all the time.
-	knowingEvery = 5 * clock.Millisecond
-	// patienceSpread is how much callers of a class differ in patience.
-	patienceSpread = 0.17
-	// leastWork is the least part of the usual work that a request takes.
-	leastWork = 0.2
-	// coldRate plays no part as long as no target is cold; a scheduler needs one.
+	// requestDelay is the time from a caller's start of a request to its arrival at the instance, including the set-up of a new
+	// connection. responseDelay is the time of a response from the instance to the caller. The one-way network delay is 8 ms.
+	requestDelay  = 24 * clock.Millisecond
+	responseDelay = 8 * clock.Millisecond
+	// targetDelay is the one-way network delay between an instance and a target.
+	targetDelay = 1 * clock.Millisecond
+	// sweepInterval is the time between two sweeps of the requests that wait in a scheduler.
+	sweepInterval = 10 * clock.Millisecond
+	// probeIntervalLearning is the time between probes of a target while its slowdown cycle is being learned,
+	// probeIntervalUnknown the time if the target has no known cycle.
+	probeIntervalLearning = 30 * clock.Millisecond
+	probeIntervalUnknown  = 45 * clock.Millisecond
+	// continuousProbeInterval is the time between probes of a variant with ContinuousProbes.
+	continuousProbeInterval = 5 * clock.Millisecond
+	// timeoutSpread is the range of callers' timeouts within a class: from (1 - timeoutSpread) * Deadline to Deadline.
+	timeoutSpread = 0.17
+	// minServiceTimeFactor is the shortest service time as a fraction of the mean.
+	minServiceTimeFactor = 0.2
+	// coldRate is needed by the scheduler but has no effect, because no target is cold.
 	coldRate = 19
 )
 
-// world is one play of a variant.
-type world struct {
-	experiment *Experiment
-	variant    *Variant
-	engine     *engine
-	random     *rand.Rand
-	targets    []*target
-	byName     map[settings.TargetName]*target
-	instances  []*instance
-	tally      *Tally
+// simulation is one run of a variant.
+type simulation struct {
+	experiment    *Experiment
+	variant       *Variant
+	engine        *engine
+	random        *rand.Rand
+	targets       []*target
+	targetsByName map[settings.TargetName]*target
+	instances     []*instance
+	tally         *Tally
 }
 
-// instance is one that serves: its scheduler, and the requests that wait in it.
+// instance is a simulated instance: its scheduler, and the requests that wait in it.
 type instance struct {
-	number    int
-	world     *world
-	scheduler *service.Scheduler
-	tickets   []*ticket
+	number          int
+	simulation      *simulation
+	scheduler       *service.Scheduler
+	pendingRequests []*pendingRequest
 }
 
-// ticket is a waiting request.
-type ticket struct {
+// pendingRequest is a request that waits for a permit. onDecision is called once, with the permit or the error.
+type pendingRequest struct {
 	*service.PendingPermit
 
-	decided func(service.Permit, error)
-	over    bool
+	onDecision func(service.Permit, error)
+	done       bool
 }
 
-// play plays a variant once.
-func play(experiment *Experiment, variant *Variant, seed uint64) *Tally {
-	world := &world{
+// simulate runs a variant once.
+func simulate(experiment *Experiment, variant *Variant, seed uint64) *Tally {
+	simulation := &simulation{
 		experiment: experiment, variant: variant, engine: newEngine(), random: rand.New(rand.NewPCG(seed, 7)),
-		byName: map[settings.TargetName]*target{}, tally: newTally(),
+		targetsByName: map[settings.TargetName]*target{}, tally: newTally(),
 	}
-	world.makeTargets(seed)
+	simulation.makeTargets(seed)
 	for number := range variant.Instances {
 		scheduler := service.NewScheduler(service.SchedulerOptions{
-			Clock: &world.engine.clock.Clock, Rand: rand.New(rand.NewPCG(seed, uint64(100+number))),
+			Clock: &simulation.engine.clock.Clock, Rand: rand.New(rand.NewPCG(seed, uint64(100+number))),
 		})
-		world.instances = append(world.instances, &instance{number: number, world: world, scheduler: scheduler})
+		simulation.instances = append(simulation.instances, &instance{number: number, simulation: simulation, scheduler: scheduler})
 	}
-	world.offer()
-	world.tend()
+	simulation.updateTargets()
+	simulation.startPeriodicTasks()
 	for _, outage := range experiment.Outages {
-		world.plan(outage)
+		simulation.scheduleOutage(outage)
 	}
 	longest := clock.Milliseconds(0)
 	for index := range experiment.Classes {
 		class := &experiment.Classes[index]
 		longest = max(longest, class.Deadline)
-		world.arrive(class, rand.New(rand.NewPCG(seed, uint64(1000+index))))
+		simulation.startArrivals(class, rand.New(rand.NewPCG(seed, uint64(1000+index))))
 	}
-	world.engine.run(clock.Moment(experiment.Length + longest))
-	return world.tally
+	simulation.engine.run(clock.Moment(experiment.Duration + longest))
+	return simulation.tally
 }
 
-func (world *world) makeTargets(seed uint64) {
-	for number := range world.experiment.Service.Targets {
+func (simulation *simulation) makeTargets(seed uint64) {
+	for number := range simulation.experiment.Service.Targets {
 		target := &target{
-			name: settings.TargetName(fmt.Sprintf("target-%d", number)), service: &world.experiment.Service, engine: world.engine,
-			phase: clock.Milliseconds(world.random.Float64()) * world.experiment.Service.Noise.Every, seed: seed*1000 + uint64(number),
-			owner: number % world.variant.Instances,
+			name: settings.TargetName(fmt.Sprintf("target-%d", number)), service: &simulation.experiment.Service, engine: simulation.engine,
+			phase: clock.Milliseconds(simulation.random.Float64()) * simulation.experiment.Service.Noise.Interval, seed: seed*1000 + uint64(number),
+			owner: number % simulation.variant.Instances,
 		}
-		world.targets = append(world.targets, target)
-		world.byName[target.name] = target
+		simulation.targets = append(simulation.targets, target)
+		simulation.targetsByName[target.name] = target
 	}
 }
 
-// offer tells the schedulers which targets there are.
-func (world *world) offer() {
-	for _, instance := range world.instances {
-		offers := make([]service.TargetConfig, 0, len(world.targets))
-		for _, target := range world.targets {
-			own := target.owner == instance.number
-			offers = append(offers, service.TargetConfig{
-				Name: target.name, Slots: target.service.Slots, Local: own, Owned: own, Usable: !target.out, ColdRate: coldRate,
+// updateTargets sends the current list of targets to all schedulers.
+func (simulation *simulation) updateTargets() {
+	for _, instance := range simulation.instances {
+		targetConfigs := make([]service.TargetConfig, 0, len(simulation.targets))
+		for _, target := range simulation.targets {
+			owned := target.owner == instance.number
+			targetConfigs = append(targetConfigs, service.TargetConfig{
+				Name: target.name, Slots: target.service.Slots, Local: owned, Owned: owned, Usable: !target.unavailable, ColdRate: coldRate,
 			})
 		}
-		instance.scheduler.SetTargets(offers)
-		instance.settle()
+		instance.scheduler.SetTargets(targetConfigs)
+		instance.deliverDecisions()
 	}
 }
 
-// plan takes targets away for a while.
-func (world *world) plan(outage Outage) {
-	change := func(out bool) func() {
+// scheduleOutage schedules the start and the end of an outage.
+func (simulation *simulation) scheduleOutage(outage Outage) {
+	setUnavailable := func(unavailable bool) func() {
 		return func() {
-			for number, target := range world.targets {
-				if float64(number) < outage.Share*float64(len(world.targets)) {
-					target.out = out
+			for number, target := range simulation.targets {
+				if float64(number) < outage.TargetShare*float64(len(simulation.targets)) {
+					target.unavailable = unavailable
 				}
 			}
-			world.offer()
+			simulation.updateTargets()
 		}
 	}
-	world.engine.at(clock.Moment(outage.At), change(true))
-	world.engine.at(clock.Moment(outage.At+outage.For), change(false))
+	simulation.engine.at(clock.Moment(outage.Start), setUnavailable(true))
+	simulation.engine.at(clock.Moment(outage.Start+outage.Duration), setUnavailable(false))
 }
 
-// tend probes the targets and looks after what waits.
-func (world *world) tend() {
-	for index, target := range world.targets {
-		if !world.variant.Blind || world.variant.Knowing {
-			first := probeUnknown * clock.Milliseconds(index) / clock.Milliseconds(len(world.targets))
-			world.engine.after(first, func() { world.probe(target) })
+// startPeriodicTasks starts the probes of all targets and the sweeps of all schedulers.
+func (simulation *simulation) startPeriodicTasks() {
+	for index, target := range simulation.targets {
+		if !simulation.variant.ProbesDisabled || simulation.variant.ContinuousProbes {
+			first := probeIntervalUnknown * clock.Milliseconds(index) / clock.Milliseconds(len(simulation.targets))
+			simulation.engine.after(first, func() { simulation.probe(target) })
 		}
 	}
 	var sweep func()
 	sweep = func() {
-		for _, instance := range world.instances {
+		for _, instance := range simulation.instances {
 			instance.scheduler.Sweep()
-			instance.settle()
+			instance.deliverDecisions()
 		}
-		world.engine.after(sweepEvery, sweep)
+		simulation.engine.after(sweepInterval, sweep)
 	}
 	sweep()
 }
 
-// probe reads a target and tells its owner at once, and the others a little later.
-func (world *world) probe(target *target) {
+// probe takes a load reading of a target. The owner receives it at once, the other instances after ReadingDelay.
+func (simulation *simulation) probe(target *target) {
 	target.update()
-	reading := target.reading()
-	owner := world.instances[target.owner]
-	owner.observe(target.name, reading)
-	for _, other := range world.instances {
+	loadReading := target.loadReading()
+	owner := simulation.instances[target.owner]
+	owner.observe(target.name, loadReading)
+	for _, other := range simulation.instances {
 		if other != owner {
-			world.engine.after(world.variant.TellAfter, func() { other.observe(target.name, reading) })
+			simulation.engine.after(simulation.variant.ReadingDelay, func() { other.observe(target.name, loadReading) })
 		}
 	}
-	pause := owner.scheduler.NextProbe(target.name, probeLearning, probeUnknown)
-	if world.variant.Knowing {
-		pause = knowingEvery
+	interval := owner.scheduler.NextProbe(target.name, probeIntervalLearning, probeIntervalUnknown)
+	if simulation.variant.ContinuousProbes {
+		interval = continuousProbeInterval
 	}
-	world.engine.after(pause, func() { world.probe(target) })
+	simulation.engine.after(interval, func() { simulation.probe(target) })
 }
 
-func (instance *instance) observe(name settings.TargetName, reading service.LoadReading) {
-	instance.scheduler.Observe(name, reading)
-	instance.settle()
+func (instance *instance) observe(name settings.TargetName, loadReading service.LoadReading) {
+	instance.scheduler.Observe(name, loadReading)
+	instance.deliverDecisions()
 }
 
-// settle hands out what the scheduler has decided for waiting requests.
-func (instance *instance) settle() {
-	kept := instance.tickets[:0]
-	var decided []func()
-	for _, ticket := range instance.tickets {
-		if ticket.over {
+// deliverDecisions calls onDecision of the pending requests that the scheduler has decided.
+func (instance *instance) deliverDecisions() {
+	stillPending := instance.pendingRequests[:0]
+	var deliveries []func()
+	for _, pendingRequest := range instance.pendingRequests {
+		if pendingRequest.done {
 			continue
 		}
-		if place, found, err := ticket.Poll(); found {
-			ticket.over = true
-			decided = append(decided, func() { ticket.decided(place, err) })
+		if permit, found, err := pendingRequest.Poll(); found {
+			pendingRequest.done = true
+			deliveries = append(deliveries, func() { pendingRequest.onDecision(permit, err) })
 			continue
 		}
-		kept = append(kept, ticket)
+		stillPending = append(stillPending, pendingRequest)
 	}
-	instance.tickets = kept
-	for _, act := range decided {
-		act()
+	instance.pendingRequests = stillPending
+	for _, deliver := range deliveries {
+		deliver()
 	}
 }
 
-// take asks for a place; decided is called once, now or later.
-func (instance *instance) take(demand service.PermitRequest, decided func(service.Permit, error)) {
-	place, waiting, err := instance.scheduler.AcquireOrEnqueue(demand)
-	if waiting == nil {
-		decided(place, err)
+// acquire requests a permit. onDecision is called once, immediately or later.
+func (instance *instance) acquire(permitRequest service.PermitRequest, onDecision func(service.Permit, error)) {
+	permit, pendingPermit, err := instance.scheduler.AcquireOrEnqueue(permitRequest)
+	if pendingPermit == nil {
+		onDecision(permit, err)
 		return
 	}
-	ticket := &ticket{PendingPermit: waiting, decided: decided}
-	instance.tickets = append(instance.tickets, ticket)
-	instance.world.engine.at(waiting.WaitDeadline(), func() {
-		if ticket.over {
+	pendingRequest := &pendingRequest{PendingPermit: pendingPermit, onDecision: onDecision}
+	instance.pendingRequests = append(instance.pendingRequests, pendingRequest)
+	instance.simulation.engine.at(pendingPermit.WaitDeadline(), func() {
+		if pendingRequest.done {
 			return
 		}
-		ticket.over = true
-		decided(waiting.Cancel())
+		pendingRequest.done = true
+		onDecision(pendingPermit.Cancel())
 	})
 }
 
-// arrive lets callers of a class come at random.
-func (world *world) arrive(class *Class, random *rand.Rand) {
+// startArrivals starts the arrivals of a class: a Poisson process whose rate follows the bursts.
+func (simulation *simulation) startArrivals(class *Class, random *rand.Rand) {
 	var next func()
 	next = func() {
-		if world.engine.now() >= clock.Moment(world.experiment.Length) {
+		if simulation.engine.now() >= clock.Moment(simulation.experiment.Duration) {
 			return
 		}
-		(&visit{world: world, class: class, random: rand.New(rand.NewPCG(random.Uint64(), 2))}).begin()
-		rate := class.PerSecond * world.burst()
-		world.engine.after(clock.Milliseconds(random.ExpFloat64()/rate)*clock.Second, next)
+		(&call{simulation: simulation, class: class, random: rand.New(rand.NewPCG(random.Uint64(), 2))}).begin()
+		rate := class.Rate * simulation.burstFactor()
+		simulation.engine.after(clock.Milliseconds(random.ExpFloat64()/rate)*clock.Second, next)
 	}
-	world.engine.after(clock.Milliseconds(random.ExpFloat64()/class.PerSecond)*clock.Second, next)
+	simulation.engine.after(clock.Milliseconds(random.ExpFloat64()/class.Rate)*clock.Second, next)
 }
 
-// burst is how many times as many callers as usual come now.
-func (world *world) burst() float64 {
-	times := 1.0
-	for _, burst := range world.experiment.Bursts {
-		if now := clock.Milliseconds(world.engine.now()); now >= burst.At && now < burst.At+burst.For {
-			times *= burst.Times
+// burstFactor returns the factor by which arrival rates are multiplied now.
+func (simulation *simulation) burstFactor() float64 {
+	factor := 1.0
+	for _, burst := range simulation.experiment.Bursts {
+		if now := clock.Milliseconds(simulation.engine.now()); now >= burst.Start && now < burst.Start+burst.Duration {
+			factor *= burst.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-// visit is one caller with one request.
-type visit struct {
-	world   *world
-	class   *Class
-	random  *rand.Rand
-	began   clock.Moment
-	until   clock.Moment
-	work    clock.Milliseconds
-	returns int
+// call is one request of a caller, including its retries.
+type call struct {
+	simulation  *simulation
+	class       *Class
+	random      *rand.Rand
+	startedAt   clock.Moment
+	deadline    clock.Moment
+	serviceTime clock.Milliseconds
+	retries     int
 }
 
-func (visit *visit) begin() {
-	visit.began = visit.world.engine.now()
-	patience := visit.class.Deadline * clock.Milliseconds(1-patienceSpread*visit.random.Float64())
-	visit.until = visit.began.Add(patience)
-	visit.work = visit.class.Work * clock.Milliseconds(max(1+visit.class.Spread*visit.random.NormFloat64(), leastWork))
-	visit.world.engine.after(reach, visit.ask)
+func (call *call) begin() {
+	call.startedAt = call.simulation.engine.now()
+	timeout := call.class.Deadline * clock.Milliseconds(1-timeoutSpread*call.random.Float64())
+	call.deadline = call.startedAt.Add(timeout)
+	call.serviceTime = call.class.MeanServiceTime *
+		clock.Milliseconds(max(1+call.class.Deviation*call.random.NormFloat64(), minServiceTimeFactor))
+	call.simulation.engine.after(requestDelay, call.arriveAtInstance)
 }
 
-// ask is the request's arrival at an instance.
-func (visit *visit) ask() {
-	world := visit.world
-	now := world.engine.now()
-	instance := world.instances[visit.random.IntN(len(world.instances))]
-	left := visit.until.Since(now)
-	if left <= 0 {
-		visit.end(endedExpired)
+// arriveAtInstance requests a permit from a random instance.
+func (call *call) arriveAtInstance() {
+	simulation := call.simulation
+	now := simulation.engine.now()
+	instance := simulation.instances[call.random.IntN(len(simulation.instances))]
+	timeLeft := call.deadline.Since(now)
+	if timeLeft <= 0 {
+		call.finish(resultExpired)
 		return
 	}
-	demand := service.PermitRequest{
-		Priority: visit.class.Priority, Class: visit.class.Name, Deadline: visit.until,
-		SoftDeadline: instance.scheduler.SoftDeadline(visit.class.Name, now, visit.class.Aim, left),
+	permitRequest := service.PermitRequest{
+		Priority: call.class.Priority, Class: call.class.Name, Deadline: call.deadline,
+		SoftDeadline: instance.scheduler.SoftDeadline(call.class.Name, now, call.class.SoftTimeout, timeLeft),
 	}
-	instance.take(demand, func(place service.Permit, err error) {
+	instance.acquire(permitRequest, func(permit service.Permit, err error) {
 		if err != nil {
-			world.tally.held(world.engine.now().Since(now))
-			visit.refused(err)
+			simulation.tally.recordRefusalDelay(simulation.engine.now().Since(now))
+			call.handleRefusal(err)
 			return
 		}
-		visit.serve(instance, place)
+		call.sendToTarget(instance, permit)
 	})
 }
 
-func (visit *visit) refused(err error) {
+func (call *call) handleRefusal(err error) {
 	var refused *service.RefusedError
-	if !errors.As(err, &refused) || visit.returns >= visit.class.Returns {
-		visit.end(endedRefused)
+	if !errors.As(err, &refused) || call.retries >= call.class.MaxRetries {
+		call.finish(resultRefused)
 		return
 	}
-	visit.returns++
-	left := visit.until.Since(visit.world.engine.now())
-	// Callers stay away for a third of the time that they have left, at the most.
-	visit.world.engine.after(back+min(refused.RetryAfter, left/3)+reach, visit.ask)
+	call.retries++
+	timeLeft := call.deadline.Since(call.simulation.engine.now())
+	// Callers wait at most a third of their remaining time before a retry.
+	call.simulation.engine.after(responseDelay+min(refused.RetryAfter, timeLeft/3)+requestDelay, call.arriveAtInstance)
 }
 
-// serve sends the request to its target, and learns from the answer.
-func (visit *visit) serve(instance *instance, place service.Permit) {
-	world := visit.world
-	target := world.byName[place.Target.Name]
-	world.engine.after(hop, func() {
-		target.start(&job{left: visit.work, deadline: visit.until, done: func(finished bool) {
-			reading := target.reading()
-			world.engine.after(hop, func() {
+// sendToTarget sends the request to the target of its permit. The load reading of the response goes to the scheduler.
+func (call *call) sendToTarget(instance *instance, permit service.Permit) {
+	simulation := call.simulation
+	target := simulation.targetsByName[permit.Target.Name]
+	simulation.engine.after(targetDelay, func() {
+		target.submit(&job{remaining: call.serviceTime, deadline: call.deadline, done: func(finished bool) {
+			loadReading := target.loadReading()
+			simulation.engine.after(targetDelay, func() {
 				if !finished {
-					place.Release(service.Failed)
-					instance.settle()
-					visit.end(endedExpired)
+					permit.Release(service.Failed)
+					instance.deliverDecisions()
+					call.finish(resultExpired)
 					return
 				}
-				place.Observe(reading)
-				place.Release(service.Succeeded)
-				instance.settle()
-				visit.answered()
+				permit.Observe(loadReading)
+				permit.Release(service.Succeeded)
+				instance.deliverDecisions()
+				call.handleResponse()
 			})
 		}})
 	})
 }
 
-func (visit *visit) answered() {
-	ended := endedLate
-	if visit.latency() <= visit.class.Aim {
-		ended = endedInTime
+func (call *call) handleResponse() {
+	result := resultLate
+	if call.latency() <= call.class.SoftTimeout {
+		result = resultInTime
 	}
-	visit.end(ended)
+	call.finish(result)
 }
 
-// latency counts until the answer is with the caller.
-func (visit *visit) latency() clock.Milliseconds {
-	return visit.world.engine.now().Add(back).Since(visit.began)
+// latency returns the time from the start of the call to the arrival of a response at the caller, if it is sent now.
+func (call *call) latency() clock.Milliseconds {
+	return call.simulation.engine.now().Add(responseDelay).Since(call.startedAt)
 }
 
-func (visit *visit) end(ended ending) {
-	if visit.counts() {
-		visit.world.tally.count(visit.class.Name, ended, visit.latency())
+func (call *call) finish(result requestResult) {
+	if call.measured() {
+		call.simulation.tally.count(call.class.Name, result, call.latency())
 	}
 }
 
-func (visit *visit) counts() bool {
-	return visit.began >= clock.Moment(visit.world.experiment.Settle)
+func (call *call) measured() bool {
+	return call.startedAt >= clock.Moment(call.simulation.experiment.MeasureFrom)
 }
--- a/internal/emulate/target.go
+++ b/internal/emulate/target.go
@@ -9,151 +9,151 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// target is one backend server. Its pace changes when a spell ends or when the number of running requests passes the knee; what each
-// has done is brought up to date at every such moment. Requests follow it, or keep the pace at which they started.
+// target is one backend server. Its slowdown changes when a noise interval ends or when the number of running requests passes
+// the knee; the remaining work of all running requests is updated at each such moment. Requests follow the slowdown of the
+// target or, with FixedAtStart, keep the slowdown with which they started.
 type target struct {
-	name    settings.TargetName
-	service *Service
-	engine  *engine
-	phase   clock.Milliseconds
-	seed    uint64
-	owner   int
-	out     bool
-
-	running []*job
-	waiting []*job
-	updated clock.Moment
-	// planned tells the event that is to bring it up to date next from those that have become void.
-	planned int
+	name        settings.TargetName
+	service     *Service
+	engine      *engine
+	phase       clock.Milliseconds
+	seed        uint64
+	owner       int
+	unavailable bool
+
+	running   []*job
+	waiting   []*job
+	updatedAt clock.Moment
+	// updateNumber identifies the next scheduled update. Events with an older number are obsolete and ignored.
+	updateNumber int
 }
 
 // job is one request at a target.
 type job struct {
-	// left is the work that remains, in time on a calm target.
-	left clock.Milliseconds
-	// pace is the one at which it started.
-	pace float64
-	// deadline is when the target gives it up.
+	// remaining is the remaining work, as time on a target without slowdown.
+	remaining clock.Milliseconds
+	// startSlowdown is the slowdown of the target when the request started.
+	startSlowdown float64
+	// deadline is when the target aborts the request.
 	deadline clock.Moment
 	done     func(finished bool)
 }
 
-// slowdown is how many times longer work takes because of neighbours: drawn anew for each spell.
-func (target *target) slowdown(now clock.Moment) float64 {
-	spell := uint64((clock.Milliseconds(now) + target.phase) / target.service.Noise.Every)
-	if rand.New(rand.NewPCG(target.seed, spell)).Float64() < target.service.Noise.Share {
-		return target.service.Noise.Times
+// noiseSlowdown returns the factor by which noise slows the target down. It is drawn for each noise interval.
+func (target *target) noiseSlowdown(now clock.Moment) float64 {
+	interval := uint64((clock.Milliseconds(now) + target.phase) / target.service.Noise.Interval)
+	if rand.New(rand.NewPCG(target.seed, interval)).Float64() < target.service.Noise.SlowProbability {
+		return target.service.Noise.Slowdown
 	}
 	return 1
 }
 
-// pace is the time that a unit of work takes.
-func (target *target) pace(now clock.Moment) float64 {
-	pace := target.slowdown(now)
+// totalSlowdown returns the slowdown by noise and by the knee.
+func (target *target) totalSlowdown(now clock.Moment) float64 {
+	slowdown := target.noiseSlowdown(now)
 	if float64(len(target.running)) > target.service.Knee*float64(target.service.Slots) {
-		pace *= target.service.KneeTimes
+		slowdown *= target.service.KneeSlowdown
 	}
-	return pace
+	return slowdown
 }
 
-// reading is what it would tell of itself.
-func (target *target) reading() service.LoadReading {
+// loadReading returns the current load of the target.
+func (target *target) loadReading() service.LoadReading {
 	now := target.engine.now()
 	return service.LoadReading{
-		At: now, Running: len(target.running), Waiting: len(target.waiting), Slots: target.service.Slots, Slowdown: target.slowdown(now),
+		At: now, Running: len(target.running), Waiting: len(target.waiting), Slots: target.service.Slots, Slowdown: target.noiseSlowdown(now),
 		ColdKnown: true,
 	}
 }
 
-// start takes a request. One that finds the queue full is never answered, as on the users' platform.
-func (target *target) start(job *job) {
+// submit runs or queues a request. If the queue is full, the request gets no response, as on the users' platform.
+func (target *target) submit(job *job) {
 	target.update()
 	switch {
 	case len(target.running) < target.service.Slots:
-		target.begin(job)
+		target.runJob(job)
 	case len(target.waiting) < target.service.Queue:
 		target.waiting = append(target.waiting, job)
 	default:
 		target.engine.at(job.deadline, func() { job.done(false) })
 	}
-	target.plan()
+	target.scheduleUpdate()
 }
 
-// begin runs a request.
-func (target *target) begin(job *job) {
+func (target *target) runJob(job *job) {
 	target.running = append(target.running, job)
-	job.pace = target.pace(target.engine.now())
+	job.startSlowdown = target.totalSlowdown(target.engine.now())
 }
 
-// paceOf is the time that a unit of a request's work takes.
-func (target *target) paceOf(job *job, now clock.Moment) clock.Milliseconds {
-	if target.service.Noise.Kept {
-		return clock.Milliseconds(job.pace)
+// jobSlowdown returns the factor by which a request is slowed down.
+func (target *target) jobSlowdown(job *job, now clock.Moment) clock.Milliseconds {
+	if target.service.Noise.FixedAtStart {
+		return clock.Milliseconds(job.startSlowdown)
 	}
-	return clock.Milliseconds(target.pace(now))
+	return clock.Milliseconds(target.totalSlowdown(now))
 }
 
-// update brings what has been done up to now.
+// update subtracts the work done since the last update from the remaining work of all running requests.
 func (target *target) update() {
 	now := target.engine.now()
-	elapsed := now.Since(target.updated)
+	elapsed := now.Since(target.updatedAt)
 	for _, job := range target.running {
-		job.left -= elapsed / target.paceOf(job, target.updated)
+		job.remaining -= elapsed / target.jobSlowdown(job, target.updatedAt)
 	}
-	target.updated = now
+	target.updatedAt = now
 }
 
-// plan asks to be looked at when a request ends or the pace may change.
-func (target *target) plan() {
+// scheduleUpdate schedules the next update: when a request ends or the slowdown may change.
+func (target *target) scheduleUpdate() {
 	now := target.engine.now()
-	next := target.spellEnds(now)
+	next := target.noiseIntervalEnd(now)
 	for _, job := range target.running {
-		next = min(next, now.Add(max(job.left, 0)*target.paceOf(job, now)), job.deadline)
+		next = min(next, now.Add(max(job.remaining, 0)*target.jobSlowdown(job, now)), job.deadline)
 	}
 	if len(target.running) == 0 {
 		return
 	}
-	target.planned++
-	planned := target.planned
-	target.engine.at(max(next, now.Add(shortestStep)), func() {
-		if planned == target.planned {
-			target.look()
+	target.updateNumber++
+	updateNumber := target.updateNumber
+	target.engine.at(max(next, now.Add(minUpdateDelay)), func() {
+		if updateNumber == target.updateNumber {
+			target.processJobs()
 		}
 	})
 }
 
-// shortestStep keeps rounding from planning a moment that is now.
-const shortestStep = 0.001 * clock.Millisecond
+// minUpdateDelay prevents an update that is scheduled for the current moment because of rounding.
+const minUpdateDelay = 0.001 * clock.Millisecond
 
-func (target *target) spellEnds(now clock.Moment) clock.Moment {
-	every := float64(target.service.Noise.Every)
-	spell := math.Floor((float64(now) + float64(target.phase)) / every)
-	return clock.Moment((spell+1)*every - float64(target.phase))
+func (target *target) noiseIntervalEnd(now clock.Moment) clock.Moment {
+	length := float64(target.service.Noise.Interval)
+	interval := math.Floor((float64(now) + float64(target.phase)) / length)
+	return clock.Moment((interval+1)*length - float64(target.phase))
 }
 
-// look ends what is done or given up, and starts what waits.
-func (target *target) look() {
+// processJobs ends the requests that have finished or passed their deadline, and starts waiting ones in the free slots.
+func (target *target) processJobs() {
 	target.update()
 	now := target.engine.now()
 	var ended []*job
-	kept := target.running[:0]
+	stillRunning := target.running[:0]
 	for _, job := range target.running {
-		if job.left <= nothing || now >= job.deadline {
+		if job.remaining <= workTolerance || now >= job.deadline {
 			ended = append(ended, job)
 			continue
 		}
-		kept = append(kept, job)
+		stillRunning = append(stillRunning, job)
 	}
-	target.running = kept
+	target.running = stillRunning
 	for len(target.waiting) > 0 && len(target.running) < target.service.Slots {
-		target.begin(target.waiting[0])
+		target.runJob(target.waiting[0])
 		target.waiting = target.waiting[1:]
 	}
-	target.plan()
+	target.scheduleUpdate()
 	for _, job := range ended {
-		job.done(job.left <= nothing)
+		job.done(job.remaining <= workTolerance)
 	}
 }
 
-// nothing is the work that counts as none.
-const nothing = 0.002 * clock.Millisecond
+// workTolerance is the remaining work below which a request counts as finished.
+const workTolerance = 0.002 * clock.Millisecond
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -33,9 +33,9 @@
 // VariantResult is one variant's part.
 type VariantResult struct {
 	Name string
-	// Whole covers all rounds, Rounds each one.
-	Whole  *Measure
-	Rounds []*Measure
+	// Total covers all rounds, Rounds each one.
+	Total  *Stats
+	Rounds []*Stats
 }
 
 // Run runs the experiment. Within a round every variant gets the same arrivals; the order of the variants turns from
@@ -43,7 +43,7 @@
 func Run(ctx context.Context, experiment Experiment) Result {
 	result := Result{Rate: experiment.Rate}
 	for _, variant := range experiment.Variants {
-		result.Variants = append(result.Variants, VariantResult{Name: variant.Name, Whole: NewMeasure()})
+		result.Variants = append(result.Variants, VariantResult{Name: variant.Name, Total: NewStats()})
 	}
 	for round := range experiment.Rounds {
 		for offset := range experiment.Variants {
@@ -51,16 +51,16 @@
 			generator := NewGenerator(Options{
 				Mix: experiment.Mix, Rate: experiment.Rate, Seed: experiment.Seed + uint64(round), Send: experiment.Variants[index].Send,
 			})
-			measured := experiment.Variants[index].run(ctx, round, func() *Measure { return generator.Run(ctx, experiment.Slice) })
+			measured := experiment.Variants[index].run(ctx, round, func() *Stats { return generator.Run(ctx, experiment.Slice) })
 			result.Variants[index].Rounds = append(result.Variants[index].Rounds, measured)
-			result.Variants[index].Whole.Merge(measured)
+			result.Variants[index].Total.Merge(measured)
 		}
 	}
 	return result
 }
 
 // run sends while what goes on beside it does.
-func (variant Variant) run(ctx context.Context, round int, send func() *Measure) *Measure {
+func (variant Variant) run(ctx context.Context, round int, send func() *Stats) *Stats {
 	if variant.Background == nil {
 		return send()
 	}
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -45,12 +45,12 @@
 	calls    sync.WaitGroup
 
 	mutex    sync.Mutex
-	whole    *Measure
-	progress *Measure
+	total    *Stats
+	progress *Stats
 }
 
-// Measure is what was measured of a load.
-type Measure struct {
+// Stats is what was measured of a load.
+type Stats struct {
 	Answered, NotRun, Unknown int64
 	// NotSent counts the calls that were not sent because too many were in flight.
 	NotSent int64
@@ -58,9 +58,9 @@
 	Classes map[settings.ClassName]*hdrhistogram.Histogram
 }
 
-// NewMeasure returns a measure of nothing.
-func NewMeasure() *Measure {
-	return &Measure{All: newHistogram(), Classes: map[settings.ClassName]*hdrhistogram.Histogram{}}
+// NewStats returns a measure of nothing.
+func NewStats() *Stats {
+	return &Stats{All: newHistogram(), Classes: map[settings.ClassName]*hdrhistogram.Histogram{}}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -68,7 +68,7 @@
 }
 
 // Record adds one call. Only answered calls have a latency: a refusal is quick and would flatter the tail.
-func (measure *Measure) Record(class settings.ClassName, latency clock.Milliseconds, result outcome.Outcome) {
+func (measure *Stats) Record(class settings.ClassName, latency clock.Milliseconds, result outcome.Outcome) {
 	switch result {
 	case outcome.Answered:
 		measure.Answered++
@@ -91,7 +91,7 @@
 }
 
 // Merge adds what another measured.
-func (measure *Measure) Merge(other *Measure) {
+func (measure *Stats) Merge(other *Stats) {
 	measure.Answered += other.Answered
 	measure.NotRun += other.NotRun
 	measure.Unknown += other.Unknown
@@ -110,8 +110,8 @@
 	return &Generator{
 		options:  options,
 		random:   rand.New(rand.NewPCG(options.Seed, 2)),
-		whole:    NewMeasure(),
-		progress: NewMeasure(),
+		total:    NewStats(),
+		progress: NewStats(),
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Run sends for the given length of time and waits for the answers.
-func (generator *Generator) Run(ctx context.Context, length time.Duration) *Measure {
+func (generator *Generator) Run(ctx context.Context, length time.Duration) *Stats {
 	arrivals := generator.schedule(length)
 	start := time.Now()
 	for _, arrival := range arrivals {
@@ -155,7 +155,7 @@
 	generator.calls.Wait()
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
-	return generator.whole
+	return generator.total
 }
 
 // coarseSleep is how late the kernel may wake a sleeper; the rest of a wait is spent awake. Otherwise every latency,
@@ -201,7 +201,7 @@
 	if generator.inFlight.Add(1) > inFlightMost {
 		generator.inFlight.Add(-1)
 		generator.mutex.Lock()
-		generator.whole.NotSent++
+		generator.total.NotSent++
 		generator.mutex.Unlock()
 		return
 	}
@@ -213,7 +213,7 @@
 		latency := clock.Of(time.Since(scheduled))
 		generator.mutex.Lock()
 		defer generator.mutex.Unlock()
-		generator.whole.Record(arrival.call.Class, latency, result)
+		generator.total.Record(arrival.call.Class, latency, result)
 		generator.progress.Record(arrival.call.Class, latency, result)
 	})
 }
@@ -229,7 +229,7 @@
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
 	since := generator.progress
-	generator.progress = NewMeasure()
+	generator.progress = NewStats()
 	return Progress{
 		Calls:    since.Answered + since.NotRun + since.Unknown,
 		Answered: since.Answered, NotRun: since.NotRun, Unknown: since.Unknown,
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -38,7 +38,7 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		synctest.Wait()
-		measured := generator.whole
+		measured := generator.total
 		require.InDelta(t, 1000, measured.Answered, 100)
 		slow := measured.All.TotalCount() - countBelow(measured, 100)
 		require.InDelta(t, 190, slow, 60, "about as many as came in 1.9 s")
@@ -46,7 +46,7 @@
 	})
 }
 
-func countBelow(measure *Measure, milliseconds int64) int64 {
+func countBelow(measure *Stats, milliseconds int64) int64 {
 	count := int64(0)
 	for _, bar := range measure.All.Distribution() {
 		if bar.To < milliseconds*microsecondsPerMilli {
@@ -109,8 +109,8 @@
 		Variants: []Variant{variant("direct", outcome.Answered), variant("through", outcome.NotRun)},
 	})
 	require.Len(t, result.Variants[0].Rounds, 2)
-	require.Equal(t, result.Variants[0].Whole.Answered, result.Variants[1].Whole.NotRun, "both got the same arrivals")
-	require.Zero(t, result.Variants[1].Whole.All.TotalCount())
+	require.Equal(t, result.Variants[0].Total.Answered, result.Variants[1].Total.NotRun, "both got the same arrivals")
+	require.Zero(t, result.Variants[1].Total.All.TotalCount())
 	directory := filepath.Join(t.TempDir(), "report")
 	require.NoError(t, result.WriteFiles(directory))
 	text, err := os.ReadFile(filepath.Join(directory, "report.txt"))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -30,7 +30,7 @@
 	fmt.Fprintf(table, "%.0f calls/s, latency from the scheduled time, in ms\n\n", result.Rate)
 	fmt.Fprintln(table, "variant\tclass\tanswered\tnotRun\tunknown\tnotSent\tp50\tp90\tp99\tp99.9\tmost")
 	for _, variant := range result.Variants {
-		whole := variant.Whole
+		whole := variant.Total
 		fmt.Fprintf(table, "%s\tall\t%d\t%d\t%d\t%d", variant.Name, whole.Answered, whole.NotRun, whole.Unknown, whole.NotSent)
 		writeQuantiles(table, whole.All)
 		for _, class := range slices.Sorted(maps.Keys(whole.Classes)) {
@@ -116,10 +116,10 @@
 	}{Rate: result.Rate}
 	for _, variant := range result.Variants {
 		entry := jsonVariant{
-			Name: variant.Name, Answered: variant.Whole.Answered, NotRun: variant.Whole.NotRun, Unknown: variant.Whole.Unknown,
-			NotSent: variant.Whole.NotSent, LatencyMs: quantileMap(variant.Whole.All), ClassesMs: map[settings.ClassName]map[string]float64{},
+			Name: variant.Name, Answered: variant.Total.Answered, NotRun: variant.Total.NotRun, Unknown: variant.Total.Unknown,
+			NotSent: variant.Total.NotSent, LatencyMs: quantileMap(variant.Total.All), ClassesMs: map[settings.ClassName]map[string]float64{},
 		}
-		for class, histogram := range variant.Whole.Classes {
+		for class, histogram := range variant.Total.Classes {
 			entry.ClassesMs[class] = quantileMap(histogram)
 		}
 		for _, round := range variant.Rounds {
@@ -153,7 +153,7 @@
 	drawing.Y.Tick.Marker = plot.LogTicks{Prec: 3}
 	drawing.Add(plotter.NewGrid())
 	for index, variant := range result.Variants {
-		line, err := plotter.NewLine(tailOf(variant.Whole.All))
+		line, err := plotter.NewLine(tailOf(variant.Total.All))
 		if err != nil {
 			return errors.Wrapf(err, "plot variant %s", variant.Name)
 		}
