--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -9,37 +9,37 @@
 type Variant struct {
 	Name string
 	Send Sender
-	// Background, when set, runs while the variant sends, and ends with its context.
+	// Background, if set, runs while the variant sends. It must return when its context ends.
 	Background func(ctx context.Context, round int)
 }
 
-// Experiment compares variants, which take turns.
+// Experiment compares variants that send alternately.
 type Experiment struct {
 	Mix  Mix
 	Rate float64
 	Seed uint64
-	// Slice is how long a variant sends before the next one does; Rounds is how often all do.
+	// Slice is the time for which a variant sends before the next one, Rounds the number of times that each variant sends.
 	Slice    time.Duration
 	Rounds   int
 	Variants []Variant
 }
 
-// Result is what an experiment measured.
+// Result contains the measurements of an experiment.
 type Result struct {
 	Rate     float64
 	Variants []VariantResult
 }
 
-// VariantResult is one variant's part.
+// VariantResult contains the measurements of one variant.
 type VariantResult struct {
 	Name string
-	// Total covers all rounds, Rounds each one.
+	// Total contains all rounds, Rounds each single one.
 	Total  *Stats
 	Rounds []*Stats
 }
 
-// Run runs the experiment. Within a round every variant gets the same arrivals; the order of the variants turns from
-// round to round, so that none always follows the same other.
+// Run runs the experiment. Within a round all variants get the same arrivals. Each round starts with the next variant, so that
+// no variant always follows the same one.
 func Run(ctx context.Context, experiment Experiment) Result {
 	result := Result{Rate: experiment.Rate}
 	for _, variant := range experiment.Variants {
@@ -51,27 +51,27 @@
 			generator := NewGenerator(Options{
 				Mix: experiment.Mix, Rate: experiment.Rate, Seed: experiment.Seed + uint64(round), Send: experiment.Variants[index].Send,
 			})
-			measured := experiment.Variants[index].run(ctx, round, func() *Stats { return generator.Run(ctx, experiment.Slice) })
-			result.Variants[index].Rounds = append(result.Variants[index].Rounds, measured)
-			result.Variants[index].Total.Merge(measured)
+			stats := experiment.Variants[index].run(ctx, round, func() *Stats { return generator.Run(ctx, experiment.Slice) })
+			result.Variants[index].Rounds = append(result.Variants[index].Rounds, stats)
+			result.Variants[index].Total.Merge(stats)
 		}
 	}
 	return result
 }
 
-// run sends while what goes on beside it does.
+// run calls send while Background runs, then cancels Background and waits for its end.
 func (variant Variant) run(ctx context.Context, round int, send func() *Stats) *Stats {
 	if variant.Background == nil {
 		return send()
 	}
-	beside, stop := context.WithCancel(ctx)
+	backgroundCtx, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		variant.Background(beside, round)
+		variant.Background(backgroundCtx, round)
 	}()
-	measured := send()
+	stats := send()
 	stop()
 	<-ended
-	return measured
+	return stats
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -15,18 +15,18 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Histograms hold whole microseconds up to a minute, to three significant digits.
+// Histograms record microseconds up to one minute, with three significant digits.
 const (
-	longestMicroseconds  = 60 * 1000 * 1000
+	maxMicroseconds      = 60 * 1000 * 1000
 	significantDigits    = 3
 	microsecondsPerMilli = 1000
 )
 
-// inFlightMost bounds the calls in flight, so that a load on a system that stands still ends. Calls above it count as
-// unknown after no time, and are reported.
-const inFlightMost = 20000
+// maxInFlight limits the calls in flight, so that a run against a stalled system ends. Calls above the limit are not sent and are
+// counted in Stats.NotSent.
+const maxInFlight = 20000
 
-// Options are what a Generator is made from.
+// Options configures a Generator.
 type Options struct {
 	Name string
 	Mix  Mix
@@ -36,7 +36,7 @@
 	Send Sender
 }
 
-// Generator sends calls at times fixed ahead.
+// Generator sends calls at times computed in advance.
 type Generator struct {
 	options  Options
 	random   *rand.Rand
@@ -49,7 +49,7 @@
 	progress *Stats
 }
 
-// Stats is what was measured of a load.
+// Stats contains the measurements of a load.
 type Stats struct {
 	Answered, NotRun, Unknown int64
 	// NotSent counts the calls that were not sent because too many were in flight.
@@ -58,16 +58,16 @@
 	Classes map[settings.ClassName]*hdrhistogram.Histogram
 }
 
-// NewStats returns a measure of nothing.
+// NewStats returns empty statistics.
 func NewStats() *Stats {
 	return &Stats{All: newHistogram(), Classes: map[settings.ClassName]*hdrhistogram.Histogram{}}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestMicroseconds, significantDigits)
+	return hdrhistogram.New(1, maxMicroseconds, significantDigits)
 }
 
-// Record adds one call. Only answered calls have a latency: a refusal is quick and would flatter the tail.
+// Record adds one call. Only the latency of answered calls is recorded: rejections are fast and would make the tail look better.
 func (measure *Stats) Record(class settings.ClassName, latency clock.Milliseconds, result outcome.Outcome) {
 	switch result {
 	case outcome.Answered:
@@ -79,18 +79,18 @@
 		measure.Unknown++
 		return
 	}
-	microseconds := min(max(int64(latency*microsecondsPerMilli), 1), longestMicroseconds)
+	microseconds := min(max(int64(latency*microsecondsPerMilli), 1), maxMicroseconds)
 	histogram := measure.Classes[class]
 	if histogram == nil {
 		histogram = newHistogram()
 		measure.Classes[class] = histogram
 	}
-	// The value lies within the range, so the only error there is can't arise.
+	// RecordValue fails only for a value outside the range of the histogram.
 	_ = histogram.RecordValue(microseconds)
 	_ = measure.All.RecordValue(microseconds)
 }
 
-// Merge adds what another measured.
+// Merge adds the measurements of other.
 func (measure *Stats) Merge(other *Stats) {
 	measure.Answered += other.Answered
 	measure.NotRun += other.NotRun
@@ -115,25 +115,25 @@
 	}
 }
 
-// Name is the generator's name.
+// Name returns the name of the generator.
 func (generator *Generator) Name() string {
 	return generator.options.Name
 }
 
-// arrival is a call and when it is to be sent, from the start of the run.
+// arrival is a call and its scheduled time, counted from the start of the run.
 type arrival struct {
 	at     time.Duration
 	call   *Call
 	number uint64
 }
 
-// schedule fixes the arrivals of the given length of time.
-func (generator *Generator) schedule(length time.Duration) []arrival {
+// schedule computes the arrivals of the given duration.
+func (generator *Generator) schedule(duration time.Duration) []arrival {
 	var arrivals []arrival
 	at := time.Duration(0)
 	for {
 		at += time.Duration(generator.random.ExpFloat64() / generator.options.Rate * float64(time.Second))
-		if at >= length {
+		if at >= duration {
 			return arrivals
 		}
 		generator.number++
@@ -141,16 +141,16 @@
 	}
 }
 
-// Run sends for the given length of time and waits for the answers.
-func (generator *Generator) Run(ctx context.Context, length time.Duration) *Stats {
-	arrivals := generator.schedule(length)
+// Run sends calls for the given duration and waits for their responses.
+func (generator *Generator) Run(ctx context.Context, duration time.Duration) *Stats {
+	arrivals := generator.schedule(duration)
 	start := time.Now()
 	for _, arrival := range arrivals {
 		waitUntil(start.Add(arrival.at))
 		if ctx.Err() != nil {
 			break
 		}
-		generator.begin(ctx, arrival, start.Add(arrival.at))
+		generator.startCall(ctx, arrival, start.Add(arrival.at))
 	}
 	generator.calls.Wait()
 	generator.mutex.Lock()
@@ -158,13 +158,13 @@
 	return generator.total
 }
 
-// coarseSleep is how late the kernel may wake a sleeper; the rest of a wait is spent awake. Otherwise every latency,
-// which counts from the scheduled time, would hold up to a millisecond of the load's own.
-const coarseSleep = 1500 * time.Microsecond
+// wakeUpMargin is the delay with which the kernel may wake a sleeping thread; that part of a wait is a busy loop. Otherwise each
+// latency, which is measured from the scheduled time, would include up to a millisecond of the generator's own delay.
+const wakeUpMargin = 1500 * time.Microsecond
 
-// waitUntil returns at the given time to within microseconds.
+// waitUntil returns at the given time, with a precision of microseconds.
 func waitUntil(moment time.Time) {
-	if wait := time.Until(moment) - coarseSleep; wait > 0 {
+	if wait := time.Until(moment) - wakeUpMargin; wait > 0 {
 		time.Sleep(wait)
 	}
 	for time.Now().Before(moment) {
@@ -172,22 +172,22 @@
 	}
 }
 
-// RunForever sends until the context ends.
+// RunForever sends calls until the context ends and waits for their responses.
 func (generator *Generator) RunForever(ctx context.Context) {
 	for ctx.Err() == nil {
-		generator.sendSecond(ctx)
+		generator.sendOneSecond(ctx)
 	}
 	generator.calls.Wait()
 }
 
-func (generator *Generator) sendSecond(ctx context.Context) {
+func (generator *Generator) sendOneSecond(ctx context.Context) {
 	start := time.Now()
 	for _, arrival := range generator.schedule(time.Second) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(arrival.at - time.Since(start)):
-			generator.begin(ctx, arrival, start.Add(arrival.at))
+			generator.startCall(ctx, arrival, start.Add(arrival.at))
 		}
 	}
 	select {
@@ -196,9 +196,9 @@
 	}
 }
 
-// begin sends one call without waiting for it.
-func (generator *Generator) begin(ctx context.Context, arrival arrival, scheduled time.Time) {
-	if generator.inFlight.Add(1) > inFlightMost {
+// startCall sends one call in the background. Its latency is measured from the scheduled time.
+func (generator *Generator) startCall(ctx context.Context, arrival arrival, scheduled time.Time) {
+	if generator.inFlight.Add(1) > maxInFlight {
 		generator.inFlight.Add(-1)
 		generator.mutex.Lock()
 		generator.total.NotSent++
@@ -218,26 +218,26 @@
 	})
 }
 
-// Progress is what has happened since it was taken last.
+// Progress contains the numbers of calls by outcome and the latency quantiles, in milliseconds, since the last TakeProgress.
 type Progress struct {
 	Calls, Answered, NotRun, Unknown int64
 	P50, P99                         float64
 }
 
-// TakeProgress returns what has happened since the last call.
+// TakeProgress returns the progress since the last call of TakeProgress, and resets it.
 func (generator *Generator) TakeProgress() Progress {
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
-	since := generator.progress
+	progress := generator.progress
 	generator.progress = NewStats()
 	return Progress{
-		Calls:    since.Answered + since.NotRun + since.Unknown,
-		Answered: since.Answered, NotRun: since.NotRun, Unknown: since.Unknown,
-		P50: quantile(since.All, 50), P99: quantile(since.All, 99),
+		Calls:    progress.Answered + progress.NotRun + progress.Unknown,
+		Answered: progress.Answered, NotRun: progress.NotRun, Unknown: progress.Unknown,
+		P50: quantile(progress.All, 50), P99: quantile(progress.All, 99),
 	}
 }
 
-// quantile reads a histogram in milliseconds.
-func quantile(histogram *hdrhistogram.Histogram, at float64) float64 {
-	return float64(histogram.ValueAtQuantile(at)) / microsecondsPerMilli
+// quantile returns a quantile of a histogram, given in percent, in milliseconds.
+func quantile(histogram *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(histogram.ValueAtQuantile(percent)) / microsecondsPerMilli
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,8 +18,8 @@
 
 var oneCall = Mix{Calls: []Call{{Service: "browsing", Class: "list", Host: "a.example", Method: "GET", Path: "/", Weight: 1}}}
 
-// The system stands still for two seconds. A load that waits for each answer before it sends the next would count one
-// slow call; here every call that would have come counts its own wait, so p99 shows the stall as callers felt it.
+// The system stalls for two seconds. A closed-loop load, which waits for each response before the next call, would count one slow
+// call. Here each call that is scheduled during the stall counts its own wait, so the tail shows the stall as callers see it.
 func TestStallCountsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -38,31 +38,31 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		synctest.Wait()
-		measured := generator.total
-		require.InDelta(t, 1000, measured.Answered, 100)
-		slow := measured.All.TotalCount() - countBelow(measured, 100)
-		require.InDelta(t, 190, slow, 60, "about as many as came in 1.9 s")
-		require.InDelta(t, 2000, quantile(measured.All, 99.9), 60)
+		stats := generator.total
+		require.InDelta(t, 1000, stats.Answered, 100)
+		slowCalls := stats.All.TotalCount() - countBelow(stats, 100)
+		require.InDelta(t, 190, slowCalls, 60, "about the number of arrivals in 1.9 s")
+		require.InDelta(t, 2000, quantile(stats.All, 99.9), 60)
 	})
 }
 
 func countBelow(measure *Stats, milliseconds int64) int64 {
 	count := int64(0)
-	for _, bar := range measure.All.Distribution() {
-		if bar.To < milliseconds*microsecondsPerMilli {
-			count += bar.Count
+	for _, bucket := range measure.All.Distribution() {
+		if bucket.To < milliseconds*microsecondsPerMilli {
+			count += bucket.Count
 		}
 	}
 	return count
 }
 
-// The same seed gives the same calls at the same times, whichever variant sends them.
+// The same seed gives the same calls at the same times, so that all variants of an experiment get the same arrivals.
 func TestArrivalsAreFixedAhead(t *testing.T) {
 	schedule := func(seed uint64) []arrival {
 		return NewGenerator(Options{Mix: oneCall, Rate: 1000, Seed: seed}).schedule(time.Second)
 	}
-	first, again := schedule(1), schedule(1)
-	require.Equal(t, first, again)
+	first, second := schedule(1), schedule(1)
+	require.Equal(t, first, second)
 	require.NotEqual(t, schedule(1), schedule(2))
 	require.InDelta(t, 1000, len(schedule(1)), 150)
 }
@@ -70,11 +70,11 @@
 func TestMixIsChecked(t *testing.T) {
 	cases := []struct{ name, text, problem string }{
 		{"unknown field", `{"calls": [], "speed": 1}`, "unknown field"},
-		{"nothing", `{"calls": []}`, "no call has a weight"},
+		{"empty", `{"calls": []}`, "no call has a weight"},
 		{"no host", `{"calls": [{"service": "a", "method": "GET", "path": "/", "weight": 1}]}`, "calls.0: service, host and method"},
 		{"bad path", `{"calls": [{"service": "a", "host": "h", "method": "GET", "path": "x", "weight": 1}]}`, "calls.0.path"},
-		{"below zero", `{"calls": [{"service": "a", "host": "h", "method": "GET", "path": "/", "weight": -1}]}`, "calls.0: a number below zero"},
-		{"trailing", `{"calls": []} {}`, "text after the end"},
+		{"negative weight", `{"calls": [{"service": "a", "host": "h", "method": "GET", "path": "/", "weight": -1}]}`, "calls.0: weight or bodyBytes is negative"},
+		{"trailing", `{"calls": []} {}`, "unexpected text after the mix"},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -91,15 +91,15 @@
 	mix, err := EvenMix(loaded.Site)
 	require.NoError(t, err)
 	require.Len(t, mix.Calls, 4)
-	picked := map[settings.ClassName]int{}
+	counts := map[settings.ClassName]int{}
 	for step := range 400 {
-		picked[mix.pick(float64(step)/400).Class]++
+		counts[mix.pick(float64(step)/400).Class]++
 	}
-	require.Equal(t, map[settings.ClassName]int{"lookup": 100, "look": 100, "post": 100, "ledger": 100}, picked)
+	require.Equal(t, map[settings.ClassName]int{"lookup": 100, "look": 100, "post": 100, "ledger": 100}, counts)
 }
 
-// An experiment lets variants take turns and reports each, as text, JSON and a plot. Refusals don't count as quick
-// answers.
+// An experiment runs its variants alternately and reports each as text, JSON and a plot. Rejections don't count as fast
+// responses.
 func TestExperimentReports(t *testing.T) {
 	variant := func(name string, result outcome.Outcome) Variant {
 		return Variant{Name: name, Send: func(context.Context, *Call, uint64) outcome.Outcome { return result }}
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -14,10 +14,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// ErrMix says that a mix makes no sense.
-var ErrMix = errors.New("mix refused")
+// ErrMix means that a mix is invalid.
+var ErrMix = errors.New("invalid mix")
 
-// Call is one kind of call in a mix.
+// Call describes one kind of call in a mix.
 type Call struct {
 	Service settings.ServiceName `json:"service"`
 	// Class is the name under which the call's latencies are reported.
@@ -25,18 +25,18 @@
 	Host   string             `json:"host"`
 	Method string             `json:"method"`
 	Path   string             `json:"path"`
-	// BodyBytes is the size of the request's body.
+	// BodyBytes is the size of the request body.
 	BodyBytes int `json:"bodyBytes,omitempty"`
-	// Weight is the call's share among all.
+	// Weight is the relative frequency of the call.
 	Weight float64 `json:"weight"`
 }
 
-// Mix is what a load consists of.
+// Mix describes the calls of a load.
 type Mix struct {
 	Calls []Call `json:"calls"`
 }
 
-// ReadMix reads a mix from a file.
+// ReadMix reads a mix from a JSON file. The error is ErrMix if the file can be read but its content is invalid.
 func ReadMix(path string) (Mix, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 		return Mix{}, errors.Wrapf(ErrMix, "%v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return Mix{}, errors.Wrap(ErrMix, "text after the end")
+		return Mix{}, errors.Wrap(ErrMix, "unexpected text after the mix")
 	}
 	return mix, mix.check()
 }
@@ -64,11 +64,11 @@
 	for index, call := range mix.Calls {
 		switch {
 		case call.Service == "" || call.Host == "" || call.Method == "":
-			return errors.Wrapf(ErrMix, "calls.%d: service, host and method are needed", index)
+			return errors.Wrapf(ErrMix, "calls.%d: service, host and method are required", index)
 		case call.Path == "" || call.Path[0] != '/':
 			return errors.Wrapf(ErrMix, "calls.%d.path: %s does not start with /", index, strconv.Quote(call.Path))
 		case call.Weight < 0 || call.BodyBytes < 0:
-			return errors.Wrapf(ErrMix, "calls.%d: a number below zero", index)
+			return errors.Wrapf(ErrMix, "calls.%d: weight or bodyBytes is negative", index)
 		}
 		total += call.Weight
 	}
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// EvenMix returns a mix with one call of each class of each service, all with the same weight.
+// EvenMix returns a mix with one call for each class of each service, all with the same weight. The error is ErrMix if the
+// site has no class.
 func EvenMix(site *settings.Site) (Mix, error) {
 	var mix Mix
 	for _, name := range slices.Sorted(maps.Keys(site.Services)) {
@@ -98,7 +99,7 @@
 	return mix, mix.check()
 }
 
-// pick returns the call at the given point of the weights, from 0 to 1.
+// pick returns the call at the given point, from 0 to 1, of the cumulative weights.
 func (mix Mix) pick(point float64) *Call {
 	total := 0.0
 	for _, call := range mix.Calls {
--- a/internal/load/package.go
+++ b/internal/load/package.go
@@ -1,9 +1,9 @@
-// Package load sends an open-loop load and measures it.
+// Package load generates an open-loop load and measures it.
 //
-// Arrival times are fixed ahead, from a seed, and every latency counts from the time at which a call was to be sent: a
-// stall counts against all calls that would have come while it lasted, as it does for callers. Variants, such as
-// straight to the backend servers and through instances, take turns within one run, so that a machine whose speed
-// drifts does not favour one of them.
+// Arrival times are computed in advance from a seed, and each latency is measured from the scheduled time of the call. A stall
+// therefore adds to the latency of every call scheduled during it, as it does for callers. Variants, such as direct requests to
+// backend servers and requests through instances, alternate within one run, so that drift in the speed of the machine does not
+// favour one of them.
 //
 // # Usage
 //
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -21,35 +21,35 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// quantilesShown are the quantiles of a report, in percent.
-var quantilesShown = []float64{50, 90, 99, 99.9}
+// reportedQuantiles are the quantiles of a report, in percent.
+var reportedQuantiles = []float64{50, 90, 99, 99.9}
 
-// WriteText writes a table: each variant as a whole, by class, and the spread of its p50 and p99 over the rounds.
+// WriteText writes a table: the results of each variant in total and by class, and the range of its p50 and p99 over the rounds.
 func (result Result) WriteText(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "%.0f calls/s, latency from the scheduled time, in ms\n\n", result.Rate)
 	fmt.Fprintln(table, "variant\tclass\tanswered\tnotRun\tunknown\tnotSent\tp50\tp90\tp99\tp99.9\tmost")
 	for _, variant := range result.Variants {
-		whole := variant.Total
-		fmt.Fprintf(table, "%s\tall\t%d\t%d\t%d\t%d", variant.Name, whole.Answered, whole.NotRun, whole.Unknown, whole.NotSent)
-		writeQuantiles(table, whole.All)
-		for _, class := range slices.Sorted(maps.Keys(whole.Classes)) {
-			fmt.Fprintf(table, "%s\t%s\t%d\t\t\t", variant.Name, class, whole.Classes[class].TotalCount())
-			writeQuantiles(table, whole.Classes[class])
+		total := variant.Total
+		fmt.Fprintf(table, "%s\tall\t%d\t%d\t%d\t%d", variant.Name, total.Answered, total.NotRun, total.Unknown, total.NotSent)
+		writeQuantiles(table, total.All)
+		for _, class := range slices.Sorted(maps.Keys(total.Classes)) {
+			fmt.Fprintf(table, "%s\t%s\t%d\t\t\t", variant.Name, class, total.Classes[class].TotalCount())
+			writeQuantiles(table, total.Classes[class])
 		}
 	}
 	fmt.Fprintln(table, "\nvariant\tquantile\tleast of rounds\tmedian of rounds\tmost of rounds")
 	for _, variant := range result.Variants {
-		for _, at := range []float64{50, 99} {
-			least, median, most := variant.spread(at)
-			fmt.Fprintf(table, "%s\tp%g\t%.3f\t%.3f\t%.3f\n", variant.Name, at, least, median, most)
+		for _, percent := range []float64{50, 99} {
+			lowest, median, highest := variant.quantileRange(percent)
+			fmt.Fprintf(table, "%s\tp%g\t%.3f\t%.3f\t%.3f\n", variant.Name, percent, lowest, median, highest)
 		}
 	}
 	result.writeRatios(table)
 	return table.Flush()
 }
 
-// writeRatios compares each variant with the first, round by round.
+// writeRatios compares each variant with the first one, round by round.
 func (result Result) writeRatios(out io.Writer) {
 	if len(result.Variants) < 2 {
 		return
@@ -57,21 +57,21 @@
 	base := result.Variants[0]
 	fmt.Fprintln(out, "\nround by round\tquantile\tmedian of ratios\tmedian of differences (ms)")
 	for _, variant := range result.Variants[1:] {
-		for _, at := range []float64{50, 99} {
+		for _, percent := range []float64{50, 99} {
 			var ratios, differences []float64
 			for round := range variant.Rounds {
-				own, other := quantile(variant.Rounds[round].All, at), quantile(base.Rounds[round].All, at)
+				own, other := quantile(variant.Rounds[round].All, percent), quantile(base.Rounds[round].All, percent)
 				ratios = append(ratios, own/max(other, 0.001))
 				differences = append(differences, own-other)
 			}
-			fmt.Fprintf(out, "%s against %s\tp%g\t%.2f\t%.3f\n", variant.Name, base.Name, at, medianOf(ratios), medianOf(differences))
+			fmt.Fprintf(out, "%s against %s\tp%g\t%.2f\t%.3f\n", variant.Name, base.Name, percent, medianOf(ratios), medianOf(differences))
 		}
 	}
 }
 
 func writeQuantiles(out io.Writer, histogram *hdrhistogram.Histogram) {
-	for _, at := range quantilesShown {
-		fmt.Fprintf(out, "\t%.3f", quantile(histogram, at))
+	for _, percent := range reportedQuantiles {
+		fmt.Fprintf(out, "\t%.3f", quantile(histogram, percent))
 	}
 	fmt.Fprintf(out, "\t%.3f\n", float64(histogram.Max())/microsecondsPerMilli)
 }
@@ -84,11 +84,11 @@
 	return sorted[len(sorted)/2]
 }
 
-// spread returns the least, the median and the most of a quantile over the rounds.
-func (variant VariantResult) spread(at float64) (least, median, most float64) {
+// quantileRange returns the lowest, median and highest value of a quantile over the rounds.
+func (variant VariantResult) quantileRange(percent float64) (lowest, median, highest float64) {
 	var values []float64
 	for _, round := range variant.Rounds {
-		values = append(values, quantile(round.All, at))
+		values = append(values, quantile(round.All, percent))
 	}
 	if len(values) == 0 {
 		return 0, 0, 0
@@ -108,7 +108,7 @@
 	RoundsMs  []map[string]float64                      `json:"roundsMs"`
 }
 
-// WriteJSON writes everything that the text says, for programs.
+// WriteJSON writes the results as JSON.
 func (result Result) WriteJSON(out io.Writer) error {
 	report := struct {
 		Rate     float64       `json:"callsPerSecond"`
@@ -134,16 +134,16 @@
 
 func quantileMap(histogram *hdrhistogram.Histogram) map[string]float64 {
 	values := map[string]float64{}
-	for _, at := range quantilesShown {
-		values[fmt.Sprintf("p%g", at)] = quantile(histogram, at)
+	for _, percent := range reportedQuantiles {
+		values[fmt.Sprintf("p%g", percent)] = quantile(histogram, percent)
 	}
 	return values
 }
 
-// mostNines is how far into the tail a plot reaches: 99.99 in 100.
-const mostNines = 4
+// maxNines is the number of nines at the end of a plot's axis: 99.99 %.
+const maxNines = 4
 
-// WritePlot draws latency against the share of calls, whose tail is stretched so that each nine takes the same width.
+// WritePlot draws latency against the quantile of calls, with the same width for each nine, as an image file.
 func (result Result) WritePlot(path string) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("Latency at %.0f calls/s", result.Rate)
@@ -153,7 +153,7 @@
 	drawing.Y.Tick.Marker = plot.LogTicks{Prec: 3}
 	drawing.Add(plotter.NewGrid())
 	for index, variant := range result.Variants {
-		line, err := plotter.NewLine(tailOf(variant.Total.All))
+		line, err := plotter.NewLine(tailPoints(variant.Total.All))
 		if err != nil {
 			return errors.Wrapf(err, "plot variant %s", variant.Name)
 		}
@@ -166,12 +166,12 @@
 	return errors.Wrap(drawing.Save(18*vg.Centimeter, 11*vg.Centimeter, path), "write plot")
 }
 
-// tailOf returns points of nines against milliseconds.
-func tailOf(histogram *hdrhistogram.Histogram) plotter.XYs {
+// tailPoints returns the plotted points: nines and latency in milliseconds.
+func tailPoints(histogram *hdrhistogram.Histogram) plotter.XYs {
 	const pointsPerNine = 20
 	var points plotter.XYs
 	share := 1.0
-	for step := range mostNines*pointsPerNine + 1 {
+	for step := range maxNines*pointsPerNine + 1 {
 		nines := float64(step) / pointsPerNine
 		value := quantile(histogram, 100*(1-share))
 		points = append(points, plotter.XY{X: nines, Y: max(value, 0.001)})
@@ -180,10 +180,10 @@
 	return points
 }
 
-// tenthRoot is the factor that takes one nine off in 20 steps: 10 to the power of -1/20.
+// tenthRoot is the factor by which the share of slower calls shrinks with each step, 20 steps per nine: 10 to the power of -1/20.
 const tenthRoot = 0.8912509381337456
 
-// WriteFiles writes the report as report.txt, report.json and report.svg into a directory.
+// WriteFiles writes the report to report.txt, report.json and report.svg in the directory, which is created if necessary.
 func (result Result) WriteFiles(directory string) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return errors.Wrap(err, "write report")
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -14,19 +14,19 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// connectionsKept is the number of idle connections kept to one address: more than are ever in flight there, so that
-// the load does not measure the making of connections.
-const connectionsKept = 1024
+// maxIdleConnections limits the idle connections kept to one address. It is higher than the number of calls in flight to one
+// address, so that the load does not measure the set-up of connections.
+const maxIdleConnections = 1024
 
-// callTimeout bounds one call.
+// callTimeout is the timeout of one call.
 const callTimeout = 30 * clock.Second
 
-// Sender sends one call and says how it ended. The number is the call's own among all.
+// Sender sends one call and returns its outcome. number is unique among all calls.
 type Sender func(ctx context.Context, call *Call, number uint64) outcome.Outcome
 
-// ThroughInstances sends through a site's instances, as callers do.
+// ThroughInstances returns a Sender that sends through the instances of a site, as callers do.
 func ThroughInstances(seeds []string) Sender {
-	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, ConnectionsMost: connectionsKept})
+	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, ConnectionsMost: maxIdleConnections})
 	return func(ctx context.Context, call *Call, number uint64) outcome.Outcome {
 		request, err := newRequest(ctx, call, call.Host, number)
 		if err != nil {
@@ -45,13 +45,13 @@
 	}
 }
 
-// Direct sends straight to backend servers, each in turn.
+// Direct returns a Sender that sends directly to the backend servers of a service, in round-robin order.
 func Direct(addresses map[settings.ServiceName][]string) Sender {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connectionsKept, DisableCompression: true}}
-	var turn atomic.Uint64
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}}
+	var next atomic.Uint64
 	return func(ctx context.Context, call *Call, number uint64) outcome.Outcome {
 		candidates := addresses[call.Service]
-		address := candidates[turn.Add(1)%uint64(len(candidates))]
+		address := candidates[next.Add(1)%uint64(len(candidates))]
 		request, err := newRequest(ctx, call, address, number)
 		if err != nil {
 			return outcome.NotRun
