--- a/internal/sitetest/kill_test.go
+++ b/internal/sitetest/kill_test.go
@@ -16,14 +16,14 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// payment is one payment and what its caller learned of it.
+// payment is one payment and its outcome as the caller sees it.
 type payment struct {
 	key     string
 	outcome outcome.Outcome
 	err     error
 }
 
-// pay sends one payment as a caller does.
+// pay sends one payment like a caller.
 func pay(client *jaywheelclient.Client, key string) payment {
 	request, err := http.NewRequest(http.MethodPost, "http://book.rodopa.example/payments", bytes.NewReader([]byte("amount=20")))
 	if err != nil {
@@ -42,19 +42,19 @@
 	return payment{key: key, outcome: result}
 }
 
-// While families pay, instances are killed one after another and new ones start, and a backend server dies. No payment
-// runs twice; one that its caller was told of as answered ran, and one told of as not run did not. Callers whose
-// instance died know that they do not know.
+// Instances are killed one after another, a new one starts and a backend server stops while callers send payments. No payment
+// may run twice. A payment with the outcome answered must have run, one with the outcome not run must not. If the instance was
+// killed, the outcome is unknown.
 func TestPaymentsUnderKills(t *testing.T) {
 	site := startRodopa(t, 4, map[settings.ServiceName]int{"browsing": 1, "booking": 6, "archive": 1})
 	seeds := []string{}
-	for _, started := range site.Entries() {
-		seeds = append(seeds, started.CallerAddress())
+	for _, entry := range site.Entries() {
+		seeds = append(seeds, entry.CallerAddress())
 	}
 	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds})
 	defer client.Close()
-	const callers, each = 8, 60
-	kills := map[int64]func(){
+	const callers, paymentsPerCaller = 8, 60
+	disruptions := map[int64]func(){
 		100: site.Entries()[0].Kill,
 		200: func() {
 			_, err := site.StartEntry("entry-new", "sofia-1")
@@ -63,31 +63,31 @@
 		250: site.Servers("booking")[0].Close,
 		350: site.Entries()[1].Kill,
 	}
-	var sent atomic.Int64
-	var paying sync.WaitGroup
-	payments := make(chan payment, callers*each)
-	disturb := make(chan func(), len(kills))
+	var sentCount atomic.Int64
+	var callerGroup sync.WaitGroup
+	payments := make(chan payment, callers*paymentsPerCaller)
+	dueDisruptions := make(chan func(), len(disruptions))
 	for caller := range callers {
-		paying.Go(func() {
-			for number := range each {
-				if kill := kills[sent.Add(1)]; kill != nil {
-					disturb <- kill
+		callerGroup.Go(func() {
+			for number := range paymentsPerCaller {
+				if disruption := disruptions[sentCount.Add(1)]; disruption != nil {
+					dueDisruptions <- disruption
 				}
 				payments <- pay(client, fmt.Sprintf("payment-%d-%d", caller, number))
 			}
 		})
 	}
-	for range kills {
-		(<-disturb)()
+	for range disruptions {
+		(<-dueDisruptions)()
 	}
-	paying.Wait()
+	callerGroup.Wait()
 	close(payments)
-	counted := map[outcome.Outcome]int{}
+	counts := map[outcome.Outcome]int{}
 	for payment := range payments {
-		counted[payment.outcome]++
+		counts[payment.outcome]++
 		checkPayment(t, site, payment)
 	}
-	require.Greater(t, counted[outcome.Answered], callers*each/2, "%v", counted)
+	require.Greater(t, counts[outcome.Answered], callers*paymentsPerCaller/2, "%v", counts)
 }
 
 func checkPayment(t *testing.T, site *Site, payment payment) {
--- a/internal/sitetest/noise.go
+++ b/internal/sitetest/noise.go
@@ -10,29 +10,29 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Noise is what neighbours on shared machines do to a service's backend servers.
+// Noise describes the effect of other processes on the machines of a service's backend servers.
 type Noise struct {
-	// Share is the part of the time that each server is slow, SlowBy how much slower it then is.
+	// Share is the fraction of the time for which each server is slow, SlowdownFactor how many times slower it is then.
 	Share          float64
 	SlowdownFactor float64
-	// MinSlowInterval and MaxSlowInterval bound one slow spell.
+	// MinSlowInterval and MaxSlowInterval bound the length of a slowdown interval.
 	MinSlowInterval, MaxSlowInterval clock.Milliseconds
 	Seed                             uint64
 }
 
-// spell is a time during which one server is slow.
-type spell struct {
+// slowdownInterval is a time during which one server is slow, counted from the start of the noise.
+type slowdownInterval struct {
 	from, to time.Duration
 }
 
-// InjectNoise makes the service's servers slow now and then until the context ends. The same seed gives the same spells.
+// InjectNoise slows the service's servers down at random until the context ends. The same seed gives the same intervals.
 func (site *Site) InjectNoise(ctx context.Context, name settings.ServiceName, noise Noise) {
 	servers := site.Servers(name)
 	done := make(chan struct{}, len(servers))
 	for number, server := range servers {
 		random := rand.New(rand.NewPCG(noise.Seed, uint64(number)))
 		go func() {
-			noise.disturb(ctx, random, server)
+			noise.slowDown(ctx, random, server)
 			done <- struct{}{}
 		}()
 	}
@@ -41,29 +41,30 @@
 	}
 }
 
-func (noise Noise) disturb(ctx context.Context, random *rand.Rand, server *Server) {
+func (noise Noise) slowDown(ctx context.Context, random *rand.Rand, server *Server) {
 	start := time.Now()
 	from := time.Duration(0)
 	for ctx.Err() == nil {
-		next := noise.next(random, from)
-		wait(ctx, next.from-time.Since(start))
+		interval := noise.nextInterval(random, from)
+		sleep(ctx, interval.from-time.Since(start))
 		server.SetBehaviour(backendservertest.Behaviour{SlowBy: noise.SlowdownFactor})
-		wait(ctx, next.to-time.Since(start))
+		sleep(ctx, interval.to-time.Since(start))
 		server.SetBehaviour(backendservertest.Behaviour{})
-		from = next.to
+		from = interval.to
 	}
 }
 
-// next draws the spell that follows a moment: its length evenly, the quiet before it so that Share of all time is slow.
-func (noise Noise) next(random *rand.Rand, after time.Duration) spell {
+// nextInterval draws the first slowdown interval after a moment. Its length is uniformly distributed, and the mean of the
+// exponentially distributed pause before it is such that the server is slow for the fraction Share of the time.
+func (noise Noise) nextInterval(random *rand.Rand, after time.Duration) slowdownInterval {
 	length := noise.MinSlowInterval + clock.Milliseconds(random.Float64())*(noise.MaxSlowInterval-noise.MinSlowInterval)
-	mean := (noise.MinSlowInterval + noise.MaxSlowInterval) / 2
-	quiet := mean * clock.Milliseconds((1-noise.Share)/noise.Share*random.ExpFloat64())
-	from := after + quiet.Duration()
-	return spell{from: from, to: from + length.Duration()}
+	meanLength := (noise.MinSlowInterval + noise.MaxSlowInterval) / 2
+	pause := meanLength * clock.Milliseconds((1-noise.Share)/noise.Share*random.ExpFloat64())
+	from := after + pause.Duration()
+	return slowdownInterval{from: from, to: from + length.Duration()}
 }
 
-func wait(ctx context.Context, length time.Duration) {
+func sleep(ctx context.Context, length time.Duration) {
 	if length <= 0 {
 		return
 	}
--- a/internal/sitetest/path_bench_test.go
+++ b/internal/sitetest/path_bench_test.go
@@ -20,7 +20,7 @@
 
 const streamBytes = 100 << 20
 
-// startRodopa starts Rodopa's site on stand-ins that answer at once, and waits until it is warm.
+// startRodopa starts the example site Rodopa with fake backend servers that respond at once, and waits until it is warm.
 func startRodopa(tb testing.TB, instances int, targets map[settings.ServiceName]int) *Site {
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "../../examples/rodopa.sofia.json")
 	require.NoError(tb, err)
@@ -33,7 +33,7 @@
 	return site
 }
 
-// endpoints are where a benchmark sends its calls, straight to a backend server and through an instance.
+// endpoints returns the addresses to which a benchmark sends its calls: a backend server and an instance.
 func endpoints(site *Site, service settings.ServiceName) []struct{ name, address string } {
 	return []struct{ name, address string }{
 		{"direct", site.Servers(service)[0].Address()},
@@ -54,7 +54,7 @@
 	return count
 }
 
-// BenchmarkCall measures one small call after another.
+// BenchmarkCall measures sequential small calls.
 func BenchmarkCall(b *testing.B) {
 	site := startRodopa(b, 1, map[settings.ServiceName]int{"browsing": 20, "booking": 1, "archive": 1})
 	for _, endpoint := range endpoints(site, "browsing") {
@@ -69,50 +69,50 @@
 	}
 }
 
-// BenchmarkStream measures the throughput of 100 MB excerpts, straight and through an instance by turns, and reports the
-// share of direct throughput that is left: the median over the turns, with the least and the most.
+// BenchmarkStream measures the throughput of downloads of 100 MiB, alternately directly and through an instance. It reports the
+// throughput through an instance as a fraction of the direct throughput: the median, p10 and p90 of all iterations.
 func BenchmarkStream(b *testing.B) {
 	site := startRodopa(b, 1, map[settings.ServiceName]int{"browsing": 1, "booking": 1, "archive": 6})
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	path := fmt.Sprintf("/excerpt?size=%d", streamBytes)
-	var shares []float64
+	var ratios []float64
 	for b.Loop() {
-		var took []time.Duration
+		var durations []time.Duration
 		for _, endpoint := range endpoints(site, "archive") {
 			start := time.Now()
 			count := get(b, client, endpoint.address, "archive.rodopa.example", path)
-			took = append(took, time.Since(start))
+			durations = append(durations, time.Since(start))
 			require.EqualValues(b, streamBytes, count)
 		}
-		shares = append(shares, float64(took[0])/float64(took[1]))
+		ratios = append(ratios, float64(durations[0])/float64(durations[1]))
 	}
-	slices.Sort(shares)
-	b.ReportMetric(shares[len(shares)/2], "ofDirect(median)")
-	b.ReportMetric(shares[len(shares)/10], "ofDirect(p10)")
-	b.ReportMetric(shares[len(shares)*9/10], "ofDirect(p90)")
+	slices.Sort(ratios)
+	b.ReportMetric(ratios[len(ratios)/2], "ofDirect(median)")
+	b.ReportMetric(ratios[len(ratios)/10], "ofDirect(p10)")
+	b.ReportMetric(ratios[len(ratios)*9/10], "ofDirect(p90)")
 }
 
-// BenchmarkIdleConnections reports the memory of callers' connections that have made one call and stay open.
+// BenchmarkIdleConnections reports the memory of each caller connection that has made one call and stays open.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 1000
 	site := startRodopa(b, 1, map[settings.ServiceName]int{"browsing": 2, "booking": 1, "archive": 1})
 	address := site.Entries()[0].CallerAddress()
 	for b.Loop() {
-		before := liveMemory()
-		var open []net.Conn
+		before := memoryInUse()
+		var openConnections []net.Conn
 		for range connections {
-			open = append(open, openIdle(b, address))
+			openConnections = append(openConnections, openIdleConnection(b, address))
 		}
-		b.ReportMetric(float64(liveMemory()-before)/connections, "B/connection")
-		for _, connection := range open {
+		b.ReportMetric(float64(memoryInUse()-before)/connections, "B/connection")
+		for _, connection := range openConnections {
 			connection.Close()
 		}
 	}
 }
 
-// openIdle makes one call on a connection of its own and leaves it open.
-func openIdle(b *testing.B, address string) net.Conn {
+// openIdleConnection makes one call on a new connection and leaves the connection open.
+func openIdleConnection(b *testing.B, address string) net.Conn {
 	connection, err := net.Dial("tcp", address)
 	require.NoError(b, err)
 	_, err = io.WriteString(connection, "GET /slots HTTP/1.1\r\nHost: slots.rodopa.example\r\n\r\n")
@@ -123,8 +123,8 @@
 	return connection
 }
 
-// liveMemory is what the process holds in heap and stacks.
-func liveMemory() uint64 {
+// memoryInUse returns the memory in use by the heap and the stacks of the process, in bytes, after garbage collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -132,14 +132,14 @@
 	return stats.HeapInuse + stats.StackInuse
 }
 
-// BenchmarkStreamMemory reports the memory that one of 8 streams takes which are stopped half way.
+// BenchmarkStreamMemory reports the memory of each of 8 downloads that the callers stop reading half way.
 func BenchmarkStreamMemory(b *testing.B) {
 	const streams = 8
 	site := startRodopa(b, 1, map[settings.ServiceName]int{"browsing": 1, "booking": 1, "archive": 6})
 	address := site.Entries()[0].CallerAddress()
 	for b.Loop() {
-		before := liveMemory()
-		var open []net.Conn
+		before := memoryInUse()
+		var openConnections []net.Conn
 		for range streams {
 			connection, err := net.Dial("tcp", address)
 			require.NoError(b, err)
@@ -147,10 +147,10 @@
 			require.NoError(b, err)
 			_, err = io.CopyN(io.Discard, connection, streamBytes/2)
 			require.NoError(b, err)
-			open = append(open, connection)
+			openConnections = append(openConnections, connection)
 		}
-		b.ReportMetric(float64(liveMemory()-before)/streams, "B/stream")
-		for _, connection := range open {
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
+		for _, connection := range openConnections {
 			connection.Close()
 		}
 	}
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -1,11 +1,11 @@
-// Package sitetest runs a whole site in one process on loopback: a stand-in of the platform, stand-ins of backend
-// servers, and real entry instances.
+// Package sitetest runs a whole site in one process on the loopback interface: a fake platform, fake backend servers and real
+// entry instances.
 //
 // # Usage
 //
-//	site, err := sitetest.Start(ctx, sitetest.Options{Site: settings, Instances: 3, Targets: map[settings.ServiceName]int{"browsing": 20}})
+//	site, err := sitetest.Start(sitetest.Options{Site: settings, Instances: 3, Targets: map[settings.ServiceName]int{"browsing": 20}})
 //	defer site.Close()
-//	address := site.Entries[0].CallerAddress()
+//	address := site.Entries()[0].CallerAddress()
 package sitetest
 
 import (
@@ -31,25 +31,25 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// pollEvery is how often WaitWarm looks.
-const pollEvery = 20 * time.Millisecond
+// warmPollInterval is the time between two checks of WaitWarm.
+const warmPollInterval = 20 * time.Millisecond
 
-// sealingKey seals datagrams between the instances of the site, which never leave loopback.
+// sealingKey seals the datagrams between the instances of the site, which never leave the loopback interface.
 var sealingKey = strings.Repeat("2a", 32)
 
-// Options are what a site is made from.
+// Options configures a site.
 type Options struct {
 	Site      *settings.Site
 	Instances int
 	// Targets is the number of backend servers of each service.
 	Targets map[settings.ServiceName]int
-	// Server returns the properties of a backend server; Name, Slots and the cold start are filled in.
+	// Server returns the options of a backend server. Name, Slots, the cold start and Seed are set by StartServer.
 	Server func(settings.ServiceName) backendservertest.Options
 	Log    zerolog.Logger
 	Seed   uint64
-	// Platform overrides how instances read the platform; its addresses are filled in.
+	// Platform contains the settings with which instances read the platform. Its addresses are set by StartEntry.
 	Platform settings.Platform
-	// Policy is how instances choose targets; it is left empty unless a baseline is measured.
+	// Policy is the policy by which instances choose targets. It is empty unless a baseline is measured.
 	Policy service.Policy
 }
 
@@ -58,9 +58,9 @@
 	Settings *settings.Site
 	Platform *platformtest.Platform
 
-	options        Options
-	platformServer *http.Server
-	platformAt     string
+	options         Options
+	platformServer  *http.Server
+	platformAddress string
 
 	mutex   sync.Mutex
 	entries map[settings.InstanceName]*Entry
@@ -74,7 +74,7 @@
 	Name       settings.InstanceName
 	DataCentre settings.DataCentreName
 	stop       context.CancelFunc
-	stopped    chan struct{}
+	done       chan struct{}
 }
 
 // Server is a running backend server.
@@ -86,7 +86,8 @@
 	DataCentre settings.DataCentreName
 }
 
-// Start publishes the settings and starts everything. It returns before backend servers are warm; WaitWarm waits.
+// Start publishes the settings and starts the platform, the backend servers and the entry instances. It returns before the
+// backend servers are warm; see WaitWarm.
 func Start(options Options) (*Site, error) {
 	site := &Site{
 		Settings: options.Site, Platform: platformtest.New(), options: options,
@@ -102,9 +103,9 @@
 func (site *Site) start() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return errors.Wrap(err, "stand-in of the platform")
+		return errors.Wrap(err, "listen for the fake platform")
 	}
-	site.platformAt = listener.Addr().String()
+	site.platformAddress = listener.Addr().String()
 	site.platformServer = &http.Server{Handler: site.Platform, ReadHeaderTimeout: time.Minute}
 	go func() { _ = site.platformServer.Serve(listener) }()
 	if err := site.Publish(site.Settings); err != nil {
@@ -114,15 +115,15 @@
 		return err
 	}
 	for number := range site.options.Instances {
-		if _, err := site.StartEntry(settings.InstanceName(fmt.Sprintf("entry-%d", number+1)), site.dataCentre(number)); err != nil {
+		if _, err := site.StartEntry(settings.InstanceName(fmt.Sprintf("entry-%d", number+1)), site.dataCentreOf(number)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// dataCentre spreads things over the data centres in turn.
-func (site *Site) dataCentre(number int) settings.DataCentreName {
+// dataCentreOf assigns the data centres in round-robin order.
+func (site *Site) dataCentreOf(number int) settings.DataCentreName {
 	var names []settings.DataCentreName
 	for name := range site.Settings.DataCentres {
 		names = append(names, name)
@@ -131,7 +132,7 @@
 	return names[number%len(names)]
 }
 
-// Publish puts settings at the configuration service, as operators do after render.
+// Publish writes settings to the configuration service, as operators do after the render command.
 func (site *Site) Publish(changed *settings.Site) error {
 	documents, err := changed.Documents()
 	if err != nil {
@@ -147,7 +148,7 @@
 	for name, count := range site.options.Targets {
 		for number := range count {
 			target := settings.TargetName(fmt.Sprintf("%s-%d", name, number+1))
-			if _, err := site.StartServer(target, name, site.dataCentre(number)); err != nil {
+			if _, err := site.StartServer(target, name, site.dataCentreOf(number)); err != nil {
 				return err
 			}
 		}
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// StartServer starts a backend server and lists it.
+// StartServer starts a backend server and adds it to the platform's list of instances.
 func (site *Site) StartServer(target settings.TargetName, name settings.ServiceName, dataCentre settings.DataCentreName) (*Server, error) {
 	serviceSettings := site.Settings.Services[name]
 	options := backendservertest.Options{}
@@ -167,31 +168,31 @@
 	options.ColdPlaces = serviceSettings.ColdStart.Places
 	options.FullAfter = serviceSettings.ColdStart.FullAfter
 	options.Seed = site.options.Seed + uint64(len(site.servers))
-	started, err := backendservertest.Start(options)
+	backendServer, err := backendservertest.Start(options)
 	if err != nil {
 		return nil, err
 	}
-	server := &Server{Server: started, Name: target, Service: name, DataCentre: dataCentre}
+	server := &Server{Server: backendServer, Name: target, Service: name, DataCentre: dataCentre}
 	site.mutex.Lock()
 	site.servers[target] = server
 	site.mutex.Unlock()
-	site.ListServer(server, platform.StateLive)
+	site.SetServerState(server, platform.StateLive)
 	return server, nil
 }
 
-// ListServer sets the state of a backend server in the platform's list.
-func (site *Site) ListServer(server *Server, state platform.State) {
+// SetServerState sets the state of a backend server in the platform's list.
+func (site *Site) SetServerState(server *Server, state platform.State) {
 	site.Platform.SetInstance(platform.Instance{
 		Name: string(server.Name), Kind: platform.KindBackendServer, State: state,
 		DataCentre: server.DataCentre, Address: server.Address(), Service: server.Service,
 	})
 }
 
-// StartEntry starts an entry instance and lists it.
+// StartEntry starts an entry instance and adds it to the platform's list of instances.
 func (site *Site) StartEntry(name settings.InstanceName, dataCentre settings.DataCentreName) (*Entry, error) {
 	platformSettings := site.options.Platform
-	platformSettings.ConfigurationAddress = site.platformAt
-	platformSettings.InstancesAddress = site.platformAt
+	platformSettings.ConfigurationAddress = site.platformAddress
+	platformSettings.InstancesAddress = site.platformAddress
 	process := &settings.Process{
 		Instance: name, DataCentre: dataCentre,
 		CallerAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", OperatorAddress: "127.0.0.1:0",
@@ -199,7 +200,7 @@
 		Keys:     settings.Keys{SealWith: "site", Known: map[settings.KeyName]string{"site": sealingKey}},
 	}
 	process.ApplyDefaults()
-	made, err := entry.New(entry.Options{
+	instance, err := entry.New(entry.Options{
 		Settings: process,
 		Log:      site.options.Log.With().Str("instance", string(name)).Logger(),
 		Seed:     site.options.Seed + uint64(len(site.entries)) + 1,
@@ -209,50 +210,50 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	started := &Entry{Entry: made, Name: name, DataCentre: dataCentre, stop: stop, stopped: make(chan struct{})}
+	newEntry := &Entry{Entry: instance, Name: name, DataCentre: dataCentre, stop: stop, done: make(chan struct{})}
 	go func() {
-		defer close(started.stopped)
-		_ = made.Serve(ctx)
+		defer close(newEntry.done)
+		_ = instance.Serve(ctx)
 	}()
-	peerAddress, err := made.PeerAddress(ctx)
+	peerAddress, err := instance.PeerAddress(ctx)
 	if err != nil {
 		stop()
 		return nil, err
 	}
 	site.mutex.Lock()
-	site.entries[name] = started
+	site.entries[name] = newEntry
 	site.mutex.Unlock()
-	site.ListEntry(started, peerAddress, platform.StateLive)
-	return started, nil
+	site.SetEntryState(newEntry, peerAddress, platform.StateLive)
+	return newEntry, nil
 }
 
-// ListEntry sets the state of an entry instance in the platform's list.
-func (site *Site) ListEntry(started *Entry, peerAddress netip.AddrPort, state platform.State) {
+// SetEntryState sets the state of an entry instance in the platform's list.
+func (site *Site) SetEntryState(entry *Entry, peerAddress netip.AddrPort, state platform.State) {
 	site.Platform.SetInstance(platform.Instance{
-		Name: string(started.Name), Kind: platform.KindEntry, State: state, DataCentre: started.DataCentre,
-		Address: started.CallerAddress(), PeerAddress: peerAddress.String(),
+		Name: string(entry.Name), Kind: platform.KindEntry, State: state, DataCentre: entry.DataCentre,
+		Address: entry.CallerAddress(), PeerAddress: peerAddress.String(),
 	})
 }
 
-// Kill stops an entry instance at once, as a failure does. The platform's list still names it.
-func (started *Entry) Kill() {
-	started.stop()
-	<-started.stopped
+// Kill stops the entry instance at once, like a crash. It stays in the platform's list of instances.
+func (entry *Entry) Kill() {
+	entry.stop()
+	<-entry.done
 }
 
-// Entries returns the entry instances, by name.
+// Entries returns the entry instances, including killed ones, sorted by name.
 func (site *Site) Entries() []*Entry {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
 	entries := make([]*Entry, 0, len(site.entries))
-	for _, started := range site.entries {
-		entries = append(entries, started)
+	for _, entry := range site.entries {
+		entries = append(entries, entry)
 	}
 	slices.SortFunc(entries, func(left, right *Entry) int { return strings.Compare(string(left.Name), string(right.Name)) })
 	return entries
 }
 
-// Servers returns the backend servers of a service, by name.
+// Servers returns the backend servers of a service, sorted by name.
 func (site *Site) Servers(name settings.ServiceName) []*Server {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
@@ -266,9 +267,10 @@
 	return servers
 }
 
-// WaitWarm waits until every instance that serves a service knows all of its backend servers to be warm.
+// WaitWarm waits until each instance that serves a service reports all backend servers of the service as warm. It returns an
+// error if the context ends first.
 func (site *Site) WaitWarm(ctx context.Context) error {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(warmPollInterval)
 	defer ticker.Stop()
 	for {
 		warm, err := site.allWarm(ctx)
@@ -284,16 +286,16 @@
 }
 
 func (site *Site) allWarm(ctx context.Context) (bool, error) {
-	for _, started := range site.Entries() {
-		status, err := started.Status(ctx)
+	for _, entry := range site.Entries() {
+		status, err := entry.Status(ctx)
 		if err != nil {
 			return false, err
 		}
 		if !status.Ready || len(status.Services) != len(site.Settings.Services) {
 			return false, nil
 		}
-		for _, state := range status.Services {
-			if slices.Contains(state.Serving, started.Name) && !state.Warm(site.options.Targets[state.Name]) {
+		for _, serviceStatus := range status.Services {
+			if slices.Contains(serviceStatus.Serving, entry.Name) && !serviceStatus.Warm(site.options.Targets[serviceStatus.Name]) {
 				return false, nil
 			}
 		}
@@ -301,10 +303,10 @@
 	return true, nil
 }
 
-// Close stops everything.
+// Close stops the entry instances, the backend servers and the platform.
 func (site *Site) Close() {
-	for _, started := range site.Entries() {
-		started.Kill()
+	for _, entry := range site.Entries() {
+		entry.Kill()
 	}
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
@@ -316,20 +318,21 @@
 	}
 }
 
-// WithShortIntervals returns a copy of settings whose backend servers warm up within moments, for runs that are about other things.
+// WithShortIntervals returns a copy of the settings with short intervals of heartbeats and failure detection, whose backend servers
+// are warm after fullAfter. It is for runs that test other things than warm-up.
 func WithShortIntervals(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
-	quick := *site
-	quick.Fleet.HeartbeatEvery = 50 * clock.Millisecond
-	quick.Fleet.SuspectAfter = 300 * clock.Millisecond
-	quick.Services = map[settings.ServiceName]settings.Service{}
+	shortened := *site
+	shortened.Fleet.HeartbeatEvery = 50 * clock.Millisecond
+	shortened.Fleet.SuspectAfter = 300 * clock.Millisecond
+	shortened.Services = map[settings.ServiceName]settings.Service{}
 	for name, service := range site.Services {
 		service.ColdStart.FullAfter = fullAfter
-		quick.Services[name] = service
+		shortened.Services[name] = service
 	}
-	return &quick
+	return &shortened
 }
 
-// PlatformAddress is where the stand-in of the platform answers.
+// PlatformAddress returns the address of the fake platform.
 func (site *Site) PlatformAddress() string {
-	return site.platformAt
+	return site.platformAddress
 }
