--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -134,7 +134,7 @@
 	simulation.engine.at(clock.Moment(outage.Start+outage.Duration), setUnavailable(false))
 }
 
-// startPeriodicTasks starts the probes of all targets and the sweeps of all schedulers.
+// startPeriodicTasks starts the probes of all targets, unless the variant has none, and the sweeps of all schedulers.
 func (simulation *simulation) startPeriodicTasks() {
 	for index, target := range simulation.targets {
 		if !simulation.variant.ProbesDisabled || simulation.variant.ContinuousProbes {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -19,7 +19,7 @@
 var oneCall = Mix{Calls: []Call{{Service: "browsing", Class: "list", Host: "a.example", Method: "GET", Path: "/", Weight: 1}}}
 
 // The system stalls for two seconds. A closed-loop load, which waits for each response before the next call, would count one slow
-// call. Here each call that is scheduled during the stall counts its own wait, so the tail shows the stall as callers see it.
+// call. Here each call that is scheduled during the stall counts its own wait, so p99 shows the stall as callers see it.
 func TestStallCountsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
