--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -65,7 +65,7 @@
 	started, err := gateway.New(gateway.Options{
 		Settings: file, Log: log,
 		Platform: gateway.Platform{
-			Source: store.Source(), SetStore: store.SetAddress, Dialect: platform.NewDialect(), ReadProbe: platform.ReadProbe,
+			Source: store.Source(), SetStore: store.SetAddress, Dialect: platform.NewDialect(), ReadProbe: platform.ParseProbeResponse,
 			Directory: platform.NewDirectory, Readiness: platform.NewReadiness,
 		},
 	})
