--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -159,7 +159,7 @@
 	name := settings.ServiceName(compareCommand.Service)
 	quick := sitetest.Quick(example, clock.Second)
 	quick.Fleet.InstancesPerService = policy.serving
-	quick.Fleet.HeartbeatEvery = 300 * clock.Millisecond
+	quick.Fleet.HeartbeatInterval = 300 * clock.Millisecond
 	quick.Fleet.SuspectAfter = clock.Second
 	if policy.policy.ReadsReports() {
 		quick.Measuring.ReportsPerTargetPerSecond = 10
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	for _, doubt := range file.Doubts {
+	for _, doubt := range file.Warnings {
 		log.Warn().Str("field", doubt.Path).Str("problem", doubt.Reason).Msg("settings not understood in part")
 	}
 	log.Info().Str("callers", file.CallerAddress).Str("dataCentre", string(file.DataCentre)).Msg("started")
--- a/internal/backendserver/pool.go
+++ b/internal/backendserver/pool.go
@@ -150,7 +150,7 @@
 	defer pool.mutex.Unlock()
 	kept := pool.idle[:0]
 	for _, candidate := range pool.idle {
-		if candidate.client.Err() != nil || now.Since(candidate.idleAt) > pool.options.Connections.IdleMost {
+		if candidate.client.Err() != nil || now.Since(candidate.idleAt) > pool.options.Connections.IdleTimeout {
 			pool.closeLocked(candidate)
 			continue
 		}
@@ -230,7 +230,7 @@
 }
 
 func (connector *connector) connect(ctx context.Context, options Options) (*connection, error) {
-	request := &dialRequest{silentMost: options.Connections.SilentMost}
+	request := &dialRequest{silentMost: options.Connections.AckTimeout}
 	client, err := connector.transport.NewClientConn(context.WithValue(ctx, socketKey{}, request), "http", options.Address)
 	if err != nil {
 		return nil, err
--- a/internal/backendserver/servers_test.go
+++ b/internal/backendserver/servers_test.go
@@ -60,7 +60,7 @@
 }
 
 func connectionSettings() settings.Connections {
-	return settings.Connections{ConnectTimeout: 5 * clock.Second, IdleMost: 30 * clock.Second, FreshFor: clock.Second, SilentMost: 5 * clock.Second}
+	return settings.Connections{ConnectTimeout: 5 * clock.Second, IdleTimeout: 30 * clock.Second, FreshFor: clock.Second, AckTimeout: 5 * clock.Second}
 }
 
 func newServers(t testing.TB, clock *clock.Clock, address string, most int) *Servers {
--- a/internal/caller/addresses.go
+++ b/internal/caller/addresses.go
@@ -50,7 +50,7 @@
 		handler.respondAddressesError(writer, http.StatusNotFound, "unknown service "+strconv.Quote(string(name)))
 		return
 	}
-	addresses := Addresses{Service: name, TTL: table.Site.Fleet.AnswerKept, Revision: table.Site.Revision, Addresses: []Address{}}
+	addresses := Addresses{Service: name, TTL: table.Site.Fleet.AddressTTL, Revision: table.Site.Revision, Addresses: []Address{}}
 	for _, instance := range service.Serving {
 		addresses.Addresses = append(addresses.Addresses, Address{Instance: instance.Name, Address: instance.Address, DataCentre: instance.DataCentre})
 	}
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -48,7 +48,7 @@
 // prepare buffers or streams the body, and rejects one that is longer than its class allows.
 func (body *body) prepare(call *call) *errorResponse {
 	request := call.request
-	maxBytes := int64(call.route.Class.Settings.BodyMost)
+	maxBytes := int64(call.route.Class.Settings.MaxBodySize)
 	if request.ContentLength > maxBytes {
 		return newRejection(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, errBodyTooLarge)
 	}
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -39,7 +39,7 @@
 			call := &call{
 				request: request, writer: writer, controller: http.NewResponseController(writer),
 				handler: NewHandler(Options{MaxStall: clock.Minute, Clock: clock.New()}),
-				route:   routing.Route{Class: &routing.Class{Settings: settings.Class{BodyMost: 1 << 20}}},
+				route:   routing.Route{Class: &routing.Class{Settings: settings.Class{MaxBodySize: 1 << 20}}},
 			}
 			call.deadline = call.now().Add(clock.Minute)
 			require.Nil(t, call.body.prepare(call))
@@ -64,7 +64,7 @@
 		call := &call{
 			request: httptest.NewRequest(http.MethodPost, "/sheets", strings.NewReader(strings.Repeat("x", length))),
 			writer:  writer, controller: http.NewResponseController(writer), handler: handler,
-			route: routing.Route{Class: &routing.Class{Settings: settings.Class{BodyMost: 64 << 20}}},
+			route: routing.Route{Class: &routing.Class{Settings: settings.Class{MaxBodySize: 64 << 20}}},
 		}
 		call.deadline = call.now().Add(clock.Minute)
 		require.Nil(t, call.body.prepare(call))
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -125,7 +125,7 @@
 	}
 	call.deadline = call.started.Add(min(timeout, route.Class.Settings.Timeout))
 	call.softDeadline = call.deadline
-	if softTimeout := route.Class.Settings.Aim; softTimeout > 0 {
+	if softTimeout := route.Class.Settings.SoftTimeout; softTimeout > 0 {
 		call.softDeadline = min(route.Service.Aim(route.Class.Name, call.started, softTimeout, timeout), call.deadline)
 	}
 	if errorResponse := call.applyDrainDeadline(); errorResponse != nil {
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -38,12 +38,12 @@
 	return &settings.Service{
 		Revision: 3, Hosts: []string{fixtureHost}, PathPrefix: "/", SlotsPerTarget: 2, ConnectionsPerTarget: 20,
 		Classes: map[settings.ClassName]settings.Class{
-			"look": {Methods: []string{"GET", "HEAD"}, Paths: []string{"/"}, Idempotent: true, Priority: 2, Timeout: 30 * clock.Second, BodyMost: 1 << 10},
-			"pay":  {Methods: []string{"POST"}, Paths: []string{"/payments"}, Timeout: 30 * clock.Second, BodyMost: 1 << 20},
+			"look": {Methods: []string{"GET", "HEAD"}, Paths: []string{"/"}, Idempotent: true, Priority: 2, Timeout: 30 * clock.Second, MaxBodySize: 1 << 10},
+			"pay":  {Methods: []string{"POST"}, Paths: []string{"/payments"}, Timeout: 30 * clock.Second, MaxBodySize: 1 << 20},
 		},
 		Queue:       settings.Queue{Length: 8, Wait: 30 * clock.Second, RetryAfter: clock.Second},
 		Retry:       settings.Retry{Attempts: 3, BudgetShare: 0.1, FailurePenalty: clock.Millisecond},
-		Connections: settings.Connections{ConnectTimeout: 5 * clock.Second, IdleMost: clock.Minute, FreshFor: clock.Minute, SilentMost: 5 * clock.Second},
+		Connections: settings.Connections{ConnectTimeout: 5 * clock.Second, IdleTimeout: clock.Minute, FreshFor: clock.Minute, AckTimeout: 5 * clock.Second},
 		ReportPath:  "/load", NotRunHeader: "Not-Run",
 	}
 }
@@ -51,7 +51,7 @@
 // newFixture starts an instance whose service has backend servers at the given addresses.
 func newFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
 	fixture := makeFixture(t, serviceSettings, addresses...)
-	limits := settings.Callers{ConnectionsMost: 100, HeaderMost: 8 << 10, HeaderTimeout: 30 * 1000, IdleMost: 60 * 1000, StallMost: 30 * 1000}
+	limits := settings.Callers{MaxConnections: 100, MaxHeaderSize: 8 << 10, HeaderTimeout: 30 * 1000, IdleTimeout: 60 * 1000, MaxStall: 30 * 1000}
 	listener, err := Listen("127.0.0.1:0", limits, &fixture.registry.Events)
 	require.NoError(t, err)
 	server := NewServer(fixture.handler, limits, &fixture.registry.Events)
@@ -77,7 +77,7 @@
 		servers.Set(name, backendserver.Options{Address: address, ConnectionsMost: 2, Connections: serviceSettings.Connections})
 	}
 	fixture.table = routing.NewTable(routing.Options{
-		Site:     &settings.Site{Revision: 7, Tenant: "rodopa", Fleet: settings.Fleet{AnswerKept: 5 * 1000}},
+		Site:     &settings.Site{Revision: 7, Tenant: "rodopa", Fleet: settings.Fleet{AddressTTL: 5 * 1000}},
 		Registry: fixture.registry,
 		Services: []*routing.Service{{
 			Name: "booking", Settings: serviceSettings, Dispatcher: dispatcher, Budget: service.NewRetryBudget(serviceSettings.Retry.BudgetShare),
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -53,7 +53,7 @@
 		return nil, errors.Wrap(err, "listen for callers")
 	}
 	return &Listener{
-		TCPListener: listener, tokens: make(chan struct{}, limits.ConnectionsMost), closed: make(chan struct{}), drained: make(chan struct{}),
+		TCPListener: listener, tokens: make(chan struct{}, limits.MaxConnections), closed: make(chan struct{}), drained: make(chan struct{}),
 		open: map[*guardedConnection]struct{}{}, onUnfinished: func() { events.Add(EventUnfinished, 1) },
 	}, nil
 }
--- a/internal/caller/refusal_test.go
+++ b/internal/caller/refusal_test.go
@@ -216,7 +216,7 @@
 // each is closed after the header timeout.
 func TestSlowHeadIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := settings.Callers{HeaderMost: 8 << 10, HeaderTimeout: 5000, IdleMost: 60000}
+		limits := settings.Callers{MaxHeaderSize: 8 << 10, HeaderTimeout: 5000, IdleTimeout: 60000}
 		server := NewServer(NewHandler(Options{}), limits, (&expvar.Map{}).Init())
 		listener := &pipeListener{connections: make(chan net.Conn)}
 		go func() { _ = server.Serve(listener) }()
@@ -236,7 +236,7 @@
 // servePipe starts an instance without reachable backend servers, and returns its server and the caller's end of a connection.
 func servePipe(t *testing.T) (*http.Server, net.Conn) {
 	fixture := makeFixture(t, fixtureService(), "127.0.0.1:1")
-	limits := settings.Callers{HeaderMost: 8 << 10, HeaderTimeout: 5000, IdleMost: 60000}
+	limits := settings.Callers{MaxHeaderSize: 8 << 10, HeaderTimeout: 5000, IdleTimeout: 60000}
 	server := NewServer(fixture.handler, limits, &fixture.registry.Events)
 	listener := &pipeListener{connections: make(chan net.Conn)}
 	go func() { _ = server.Serve(listener) }()
--- a/internal/caller/server.go
+++ b/internal/caller/server.go
@@ -20,8 +20,8 @@
 		Handler:           handler,
 		Protocols:         protocols,
 		ReadHeaderTimeout: limits.HeaderTimeout.Duration(),
-		IdleTimeout:       limits.IdleMost.Duration(),
-		MaxHeaderBytes:    int(limits.HeaderMost),
+		IdleTimeout:       limits.IdleTimeout.Duration(),
+		MaxHeaderBytes:    int(limits.MaxHeaderSize),
 		ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, connection)
 		},
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -150,7 +150,7 @@
 			others[otherName] = *other.settings
 		}
 	}
-	problems = append(problems, settings.CheckClaims(others, key)...)
+	problems = append(problems, settings.CheckRouteConflicts(others, key)...)
 	if len(problems) > 0 {
 		return &settings.InvalidError{Problems: problems}
 	}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -161,7 +161,7 @@
 	coldStart := fleet.site.Services["browsing"].ColdStart
 	warm := fleet.site.Services["browsing"].SlotsPerTarget
 	started := false
-	for passed := clock.Milliseconds(0); passed < coldStart.FullAfter+3*clock.Second; passed += tickEvery {
+	for passed := clock.Milliseconds(0); passed < coldStart.RampUpTime+3*clock.Second; passed += tickEvery {
 		fleet.run(tickEvery)
 		for number := range targetCount {
 			target := settings.TargetName(fmt.Sprintf("browsing-%d", number+1))
@@ -171,7 +171,7 @@
 			limit := fleet.limits(target)
 			started = started || limit > 0
 			require.LessOrEqual(t, limit, warm)
-			if passed < coldStart.FullAfter/2 {
+			if passed < coldStart.RampUpTime/2 {
 				require.LessOrEqual(t, limit, 3)
 			}
 		}
@@ -384,7 +384,7 @@
 			Name: "entry-0", Clock: &clock.NewManual().Clock, Rand: rand.New(rand.NewPCG(1, 1)), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 			Servers: backendserver.NewServers(clock.New()), Send: func(netip.AddrPort, instance.Heartbeat) { sent++ },
 		})
-		controller.site = &settings.Site{Fleet: settings.Fleet{HeartbeatEvery: 300, SuspectAfter: clock.Second}}
+		controller.site = &settings.Site{Fleet: settings.Fleet{HeartbeatInterval: 300, SuspectAfter: clock.Second}}
 		for number := range peers {
 			controller.peers[memberName(number)] = &peerState{}
 		}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -243,7 +243,7 @@
 	if controller.site == nil || now < controller.heartbeat.next && !atOnce {
 		return
 	}
-	controller.heartbeat.next = now.Add(controller.paced(controller.site.Fleet.HeartbeatEvery))
+	controller.heartbeat.next = now.Add(controller.paced(controller.site.Fleet.HeartbeatInterval))
 	controller.heartbeat.sequence++
 	heartbeat := instance.Heartbeat{
 		From:        controller.options.Name,
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -100,7 +100,7 @@
 // connectionShare is the number of connections that this instance may open to one target. It rests on the settings
 // alone, so that the agreed number holds whatever the instances know of each other.
 func (controller *Controller) connectionShare(state *serviceState) int {
-	return max(state.settings.ConnectionsPerTarget/controller.site.Fleet.InstancesMost, 1)
+	return max(state.settings.ConnectionsPerTarget/controller.site.Fleet.MaxInstances, 1)
 }
 
 func (controller *Controller) addTarget(state *serviceState, name settings.TargetName, record platform.Instance) {
@@ -135,7 +135,7 @@
 // tellingTakes is how long a peer takes to tell a new one everything it knows.
 func (controller *Controller) tellingTakes() clock.Milliseconds {
 	rounds := clock.Milliseconds(len(controller.list.Instances)/instance.TargetsMost + 3)
-	return controller.paced(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatEvery))
+	return controller.paced(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatInterval))
 }
 
 // tendTargets moves a service's targets on in time: who owns them, how warm they are, and when to read their reports.
@@ -170,7 +170,7 @@
 	switch {
 	case target.phase == phaseUnknown && now >= target.waitUntil && !(target.early && controller.learning(now)):
 		controller.turnCold(now, state, name, target, "nobody called it warm")
-	case target.phase == phaseCold && now.Since(target.rampStart) >= state.settings.ColdStart.FullAfter:
+	case target.phase == phaseCold && now.Since(target.rampStart) >= state.settings.ColdStart.RampUpTime:
 		target.phase = phaseWarm
 		controller.heartbeat.urgent(target.key)
 		controller.options.Registry.Events.Add(EventTargetWarm, 1)
@@ -246,7 +246,7 @@
 		return service.TargetLimit{Limit: 1, ShareLeast: 1, OwnMost: 1}
 	case target.phase == phaseCold && target.owned:
 		warmup := service.Warmup{
-			Places: state.settings.ColdStart.Places, Slots: state.settings.SlotsPerTarget, FullAfter: state.settings.ColdStart.FullAfter,
+			Places: state.settings.ColdStart.InitialPermits, Slots: state.settings.SlotsPerTarget, FullAfter: state.settings.ColdStart.RampUpTime,
 		}
 		limit := min(warmup.LimitAt(now.Since(target.rampStart)), ownMost)
 		return service.TargetLimit{Limit: limit, OwnMost: limit}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,7 +123,7 @@
 	traces := trace.NewRing(storiesKept)
 	entry.handler = caller.NewHandler(caller.Options{
 		Table: entry.controller.Table, Servers: entry.servers, Registry: entry.registry, Traces: traces, Clock: entry.clock,
-		Instance: process.Instance, MaxStall: process.Callers.StallMost,
+		Instance: process.Instance, MaxStall: process.Callers.MaxStall,
 	})
 	operators := operator.NewHandler(operator.Options{Status: entry.operatorStatus, Registry: entry.registry, Traces: traces})
 	var err error
@@ -219,5 +219,5 @@
 	if table == nil {
 		return 0
 	}
-	return table.Site.Fleet.AnswerKept + 2*table.Site.Fleet.HeartbeatEvery
+	return table.Site.Fleet.AddressTTL + 2*table.Site.Fleet.HeartbeatInterval
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -45,9 +45,9 @@
 	loaded, err := settings.LoadSite("../../examples/rodopa.base.json", "")
 	require.NoError(t, err)
 	site := loaded.Site
-	site.Fleet.HeartbeatEvery = 20 * clock.Millisecond
+	site.Fleet.HeartbeatInterval = 20 * clock.Millisecond
 	site.Fleet.SuspectAfter = 60 * clock.Millisecond
-	site.Fleet.AnswerKept = fixture.answerKept
+	site.Fleet.AddressTTL = fixture.answerKept
 	documents, err := site.Documents()
 	require.NoError(t, err)
 	for _, document := range documents {
@@ -82,7 +82,7 @@
 	address := server.Listener.Addr().String()
 	process := &settings.Process{
 		Instance: "entry-1", DataCentre: "sofia-1", CallerAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", OperatorAddress: "127.0.0.1:0",
-		Platform: settings.Platform{ConfigurationAddress: address, InstancesAddress: address, WatchMost: 50},
+		Platform: settings.Platform{ConfigurationAddress: address, InstancesAddress: address, WatchTimeout: 50},
 		Keys:     settings.Keys{SealWith: "k", Known: map[settings.KeyName]string{"k": strings.Repeat("07", 32)}},
 	}
 	process.ApplyDefaults()
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -40,7 +40,7 @@
 }
 
 func (controller *Controller) publishAddresses() {
-	book := &addressBook{kept: min(answerKept, controller.options.Bounds.AnswerKeptMost)}
+	book := &addressBook{kept: min(answerKept, controller.options.Bounds.MaxAddressTTL)}
 	for _, identity := range controller.named() {
 		book.all = append(book.all, identity.Caller)
 	}
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -56,7 +56,7 @@
 	fixture.controller = NewController(Options{
 		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, Awake: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
 		Seeds: addresses, Servers: backendserver.NewServers(&fixture.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
-		Bounds: settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000}, FleetStarts: true,
+		Bounds: settings.GatewayBounds{ProbesPerSecond: 60, MaxAddressTTL: 5000}, FleetStarts: true,
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
 	fixture.controller.SetFeed(Feed{
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -77,7 +77,7 @@
 		Self: identity(node.number), Incarnation: membership.Incarnation(fleet.random.Uint64()), Clock: &fleet.clock.Clock,
 		Awake: &fleet.clock.Clock, Rand: rand.New(rand.NewPCG(fleet.random.Uint64(), 1)), Seeds: seeds,
 		Servers: backendserver.NewServers(&fleet.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
-		Bounds:  settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000},
+		Bounds:  settings.GatewayBounds{ProbesPerSecond: 60, MaxAddressTTL: 5000},
 		Send:    func(to netip.AddrPort, text []byte) { fleet.send(node.number, to, text) },
 		SetJobs: func(jobs []sensing.Job) { node.jobs = jobs },
 	})
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -23,11 +23,11 @@
 	// A server takes a connection within a few milliseconds; one that is gone never does.
 	ConnectTimeout: 250 * clock.Millisecond,
 	// Servers close unused connections after 10 s.
-	IdleMost: 6 * clock.Second,
+	IdleTimeout: 6 * clock.Second,
 	// A request that must not run twice goes only where life was seen this recently; probes show it all the time.
 	FreshFor: 500 * clock.Millisecond,
 	// The kernel gives a connection up when bytes stay unacknowledged this long.
-	SilentMost: clock.Second,
+	AckTimeout: clock.Second,
 }
 
 // refusedComeBack is when a caller may return after backend servers have refused its request: places there are free
@@ -256,8 +256,8 @@
 	entry := &routing.Entry{Host: route.Host, Prefix: route.Prefix, Public: route.Public, Class: &routing.Class{
 		Name: route.Name,
 		Settings: settings.Class{
-			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, Aim: route.Aim, Attempts: route.Attempts,
-			BodyMost: bodyMost,
+			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, SoftTimeout: route.Aim, Attempts: route.Attempts,
+			MaxBodySize: bodyMost,
 		},
 		Metrics: controller.options.Registry.Class(key),
 	}}
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -56,7 +56,7 @@
 	process.controller = NewController(Options{
 		Self: machine.identity, Incarnation: membership.Incarnation(random.Uint64()), Clock: own, Awake: fleet.clock,
 		Rand: rand.New(rand.NewPCG(random.Uint64(), 1)), Seeds: fleet.seeds(), Servers: backendserver.NewServers(own), Registry: registry,
-		Log: zerolog.Nop(), Bounds: settings.GatewayBounds{ProbesPerSecond: 60, AnswerKeptMost: 5000}, FleetStarts: first,
+		Log: zerolog.Nop(), Bounds: settings.GatewayBounds{ProbesPerSecond: 60, MaxAddressTTL: 5000}, FleetStarts: first,
 		Send:    func(to netip.AddrPort, text []byte) { fleet.send(machine, to, text) },
 		SetJobs: func(jobs []sensing.Job) { process.jobs = jobs },
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -138,7 +138,7 @@
 			Size: int(file.Cores * thousandths),
 		},
 		Incarnation: membership.Incarnation(rand.Uint64()),
-		Seeds:       file.SeedAddresses(), Bounds: file.Bounds, FleetStarts: file.FleetStarts, Clock: gateway.clock, Awake: clock.NewAwake(),
+		Seeds:       file.SeedAddresses(), Bounds: file.Bounds, FleetStarts: file.FleetBootstrap, Clock: gateway.clock, Awake: clock.NewBootTime(),
 		Rand:    rand.New(rand.NewPCG(gateway.options.Seed, 0)),
 		Servers: gateway.servers, Registry: gateway.registry, Log: gateway.options.Log, Quota: gateway.quota,
 		Send: gateway.datagrams.Send, SetJobs: gateway.prober.Set,
@@ -161,8 +161,8 @@
 func (gateway *Gateway) makeParts() error {
 	file := gateway.options.Settings
 	limits := settings.Callers{
-		ConnectionsMost: int(callersShare * float64(file.DescriptorsMost)), HeaderMost: headerMost, HeaderTimeout: headerTimeout,
-		IdleMost: idleMost, StallMost: stallMost,
+		MaxConnections: int(callersShare * float64(file.MaxDescriptors)), MaxHeaderSize: headerMost, HeaderTimeout: headerTimeout,
+		IdleTimeout: idleMost, MaxStall: stallMost,
 	}
 	gateway.handler = caller.NewHandler(caller.Options{
 		Table: gateway.controller.Table, AwaitTable: gateway.controller.AwaitTable, Servers: gateway.servers, Registry: gateway.registry, Traces: gateway.traces,
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -26,7 +26,7 @@
 // new connections, and at last it waits until the requests under way have ended. What can't end within the time for leaving is answered
 // shortly before it is over. The error is the context's when that took too long.
 func (gateway *Gateway) Leave(ctx context.Context) error {
-	most := gateway.bounds.Load().LeaveMost
+	most := gateway.bounds.Load().DrainTimeout
 	ctx, cancel := context.WithTimeout(ctx, (finishIn * most).Duration())
 	defer cancel()
 	listen := time.NewTimer((listenOn * most).Duration())
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -26,7 +26,7 @@
 
 // ThroughInstances sends through a site's instances, as callers do.
 func ThroughInstances(seeds []string) Sender {
-	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, ConnectionsMost: connectionsKept})
+	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, MaxIdleConnections: connectionsKept})
 	return func(ctx context.Context, call *Call, number uint64) outcome.Outcome {
 		request, err := newRequest(ctx, call, call.Host, number)
 		if err != nil {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -84,8 +84,8 @@
 func (client *Client) watch(ctx context.Context, address, path string, after Index) ([]byte, error) {
 	query := url.Values{}
 	query.Set(AfterParameter, strconv.FormatUint(uint64(after), 10))
-	query.Set(WaitParameter, strconv.FormatInt(int64(client.settings.WatchMost), 10))
-	timeout := client.settings.Timeout + client.settings.WatchMost
+	query.Set(WaitParameter, strconv.FormatInt(int64(client.settings.WatchTimeout), 10))
+	timeout := client.settings.Timeout + client.settings.WatchTimeout
 	return client.get(ctx, url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}, timeout, ListMost)
 }
 
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -27,7 +27,7 @@
 	t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
 	client := platform.NewClient(settings.Platform{
-		ConfigurationAddress: address, InstancesAddress: address, Timeout: 10 * clock.Second, WatchMost: 10 * clock.Second,
+		ConfigurationAddress: address, InstancesAddress: address, Timeout: 10 * clock.Second, WatchTimeout: 10 * clock.Second,
 	})
 	t.Cleanup(client.Close)
 	return client
@@ -140,7 +140,7 @@
 func TestWatchersBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &failingTransport{}
-		client := platform.NewClientForTest(settings.Platform{Timeout: clock.Second, WatchMost: clock.Second}, transport)
+		client := platform.NewClientForTest(settings.Platform{Timeout: clock.Second, WatchTimeout: clock.Second}, transport)
 		options := platform.WatchOptions{Client: client, Events: (&expvar.Map{}).Init(), Log: zerolog.Nop(), Jitter: func() float64 { return 0.5 }}
 		ctx, stop := context.WithTimeout(context.Background(), (60 * clock.Minute).Duration())
 		defer stop()
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -164,8 +164,8 @@
 	}
 	options.Name = string(target)
 	options.Slots = serviceSettings.SlotsPerTarget
-	options.ColdPlaces = serviceSettings.ColdStart.Places
-	options.FullAfter = serviceSettings.ColdStart.FullAfter
+	options.ColdPlaces = serviceSettings.ColdStart.InitialPermits
+	options.FullAfter = serviceSettings.ColdStart.RampUpTime
 	options.Seed = site.options.Seed + uint64(len(site.servers))
 	started, err := backendservertest.Start(options)
 	if err != nil {
@@ -319,11 +319,11 @@
 // Quick returns a copy of settings whose backend servers warm up within moments, for runs that are about other things.
 func Quick(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
 	quick := *site
-	quick.Fleet.HeartbeatEvery = 50 * clock.Millisecond
+	quick.Fleet.HeartbeatInterval = 50 * clock.Millisecond
 	quick.Fleet.SuspectAfter = 300 * clock.Millisecond
 	quick.Services = map[settings.ServiceName]settings.Service{}
 	for name, service := range site.Services {
-		service.ColdStart.FullAfter = fullAfter
+		service.ColdStart.RampUpTime = fullAfter
 		quick.Services[name] = service
 	}
 	return &quick
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -32,8 +32,8 @@
 	Minute      Milliseconds = 60 * Second
 )
 
-// ErrNotPositive is returned for a length of time below zero.
-var ErrNotPositive = errors.New("a length of time is never negative")
+// ErrNegative is returned for a length of time below zero.
+var ErrNegative = errors.New("a length of time is never negative")
 
 // Of converts a standard duration.
 func Of(duration time.Duration) Milliseconds {
@@ -67,7 +67,7 @@
 		return errors.Wrapf(err, "length of time %s", strconv.Quote(string(text)))
 	}
 	if duration < 0 {
-		return errors.Wrapf(ErrNotPositive, "length of time %s", strconv.Quote(string(text)))
+		return errors.Wrapf(ErrNegative, "length of time %s", strconv.Quote(string(text)))
 	}
 	*milliseconds = Of(duration)
 	return nil
@@ -102,8 +102,8 @@
 	return &Clock{Now: func() Moment { return Moment(Of(time.Since(origin))) }}
 }
 
-// NewAwake returns a clock that also counts the time for which the machine is suspended, which New's does not.
-func NewAwake() *Clock {
+// NewBootTime returns a clock that also counts the time for which the machine is suspended, which New's does not.
+func NewBootTime() *Clock {
 	return &Clock{Now: func() Moment {
 		var since unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &since); err != nil {
--- a/pkg/jaywheelclient/client.go
+++ b/pkg/jaywheelclient/client.go
@@ -46,8 +46,8 @@
 type Options struct {
 	// Seeds are addresses of instances to ask first, IP and port.
 	Seeds []string
-	// ConnectionsMost is the largest number of idle connections kept to one instance; 0 stands for 64.
-	ConnectionsMost int
+	// MaxIdleConnections is the largest number of idle connections kept to one instance; 0 stands for 64.
+	MaxIdleConnections int
 }
 
 // Client sends requests through a jaywheel site. It is safe for concurrent use.
@@ -68,13 +68,13 @@
 
 // New returns a client.
 func New(options Options) *Client {
-	if options.ConnectionsMost == 0 {
-		options.ConnectionsMost = 64
+	if options.MaxIdleConnections == 0 {
+		options.MaxIdleConnections = 64
 	}
 	dialer := &net.Dialer{Timeout: connectTimeout.Duration()}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: options.ConnectionsMost,
+		MaxIdleConnsPerHost: options.MaxIdleConnections,
 		DisableCompression:  true,
 	}
 	refuseRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/pkg/settings/bytes.go
+++ b/pkg/settings/bytes.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSize is returned for a size that can't be read.
-var ErrSize = errors.New(`a size is a whole number with B, KiB, MiB or GiB, such as "64KiB"`)
+// ErrInvalidSize is returned for a size that can't be read.
+var ErrInvalidSize = errors.New(`a size is a whole number with B, KiB, MiB or GiB, such as "64KiB"`)
 
 var sizeUnits = []struct {
 	suffix string
@@ -22,7 +22,7 @@
 			return []byte(strconv.FormatInt(int64(bytes)/unit.bytes, 10) + unit.suffix), nil
 		}
 	}
-	return nil, ErrSize
+	return nil, ErrInvalidSize
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -34,10 +34,10 @@
 		}
 		number, err := strconv.ParseInt(digits, 10, 64)
 		if err != nil || number < 0 || number > (1<<62)/unit.bytes {
-			return errors.Wrapf(ErrSize, "%s", strconv.Quote(string(text)))
+			return errors.Wrapf(ErrInvalidSize, "%s", strconv.Quote(string(text)))
 		}
 		*bytes = Bytes(number * unit.bytes)
 		return nil
 	}
-	return errors.Wrapf(ErrSize, "%s", strconv.Quote(string(text)))
+	return errors.Wrapf(ErrInvalidSize, "%s", strconv.Quote(string(text)))
 }
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -61,20 +61,20 @@
 		problems = append(problems, service.check(file, path)...)
 		problems = append(problems, service.CheckAgainst(site, file, path)...)
 	}
-	return append(problems, CheckClaims(site.Services, file)...)
+	return append(problems, CheckRouteConflicts(site.Services, file)...)
 }
 
 func (site *Site) checkSite(file string) []Problem {
 	checker := &checker{file: file}
 	fleet := site.Fleet
-	if fleet.InstancesPerService > fleet.InstancesMost {
-		checker.add("fleet.instancesPerService", "%d is more than fleet.instancesMost, %d", fleet.InstancesPerService, fleet.InstancesMost)
+	if fleet.InstancesPerService > fleet.MaxInstances {
+		checker.add("fleet.instancesPerService", "%d is more than fleet.instancesMost, %d", fleet.InstancesPerService, fleet.MaxInstances)
 	}
-	checker.positive("fleet.answerKept", fleet.AnswerKept)
-	checker.positive("fleet.heartbeatEvery", fleet.HeartbeatEvery)
-	if fleet.SuspectAfter < 3*fleet.HeartbeatEvery {
+	checker.positive("fleet.answerKept", fleet.AddressTTL)
+	checker.positive("fleet.heartbeatEvery", fleet.HeartbeatInterval)
+	if fleet.SuspectAfter < 3*fleet.HeartbeatInterval {
 		checker.add("fleet.suspectAfter", "%s is less than three heartbeats of %s; one lost datagram would look like a failure",
-			fleet.SuspectAfter, fleet.HeartbeatEvery)
+			fleet.SuspectAfter, fleet.HeartbeatInterval)
 	}
 	if !slices.ContainsFunc(slices.Collect(maps.Values(site.DataCentres)), func(dataCentre DataCentre) bool { return dataCentre.State == DataCentreIn }) {
 		checker.add("dataCentres", "every data centre is out")
@@ -85,9 +85,9 @@
 // CheckAgainst finds what does not fit between a service and the site it belongs to.
 func (service *Service) CheckAgainst(site *Site, file, path string) []Problem {
 	checker := &checker{file: file}
-	if service.ConnectionsPerTarget < site.Fleet.InstancesMost {
+	if service.ConnectionsPerTarget < site.Fleet.MaxInstances {
 		checker.add(join(path, "connectionsPerTarget"), "%d does not give each of fleet.instancesMost, %d, one connection",
-			service.ConnectionsPerTarget, site.Fleet.InstancesMost)
+			service.ConnectionsPerTarget, site.Fleet.MaxInstances)
 	}
 	return checker.problems
 }
@@ -104,9 +104,9 @@
 	}
 	checker.positive(join(path, "queue.wait"), service.Queue.Wait)
 	checker.positive(join(path, "connections.connectTimeout"), service.Connections.ConnectTimeout)
-	checker.positive(join(path, "connections.silentMost"), service.Connections.SilentMost)
-	if service.ColdStart.Places > service.SlotsPerTarget {
-		checker.add(join(path, "coldStart.places"), "%d is more than slotsPerTarget, %d", service.ColdStart.Places, service.SlotsPerTarget)
+	checker.positive(join(path, "connections.silentMost"), service.Connections.AckTimeout)
+	if service.ColdStart.InitialPermits > service.SlotsPerTarget {
+		checker.add(join(path, "coldStart.places"), "%d is more than slotsPerTarget, %d", service.ColdStart.InitialPermits, service.SlotsPerTarget)
 	}
 	for _, name := range sortedKeys(service.Classes) {
 		class := service.Classes[name]
@@ -150,8 +150,8 @@
 	}
 }
 
-// CheckClaims finds two services that claim the same host and path, between which no rule decides.
-func CheckClaims(services map[ServiceName]Service, file string) []Problem {
+// CheckRouteConflicts finds two services that claim the same host and path, between which no rule decides.
+func CheckRouteConflicts(services map[ServiceName]Service, file string) []Problem {
 	type claim struct{ host, prefix string }
 	checker := &checker{file: file}
 	claimed := map[claim]ServiceName{}
@@ -177,7 +177,7 @@
 	checker.address("platform.instancesAddress", process.Platform.InstancesAddress)
 	checker.positive("platform.timeout", process.Platform.Timeout)
 	checker.positive("callers.headerTimeout", process.Callers.HeaderTimeout)
-	checker.positive("callers.stallMost", process.Callers.StallMost)
+	checker.positive("callers.stallMost", process.Callers.MaxStall)
 	if _, known := process.Keys.Known[process.Keys.SealWith]; !known {
 		checker.add("keys.sealWith", "%q is not among keys.known", process.Keys.SealWith)
 	}
--- a/pkg/settings/defaults.go
+++ b/pkg/settings/defaults.go
@@ -12,8 +12,8 @@
 
 func (site *Site) applyDefaults() {
 	setDefault(&site.Fleet.InstancesPerService, 3)
-	setDefault(&site.Fleet.AnswerKept, 5*clock.Second)
-	setDefault(&site.Fleet.HeartbeatEvery, 300*clock.Millisecond)
+	setDefault(&site.Fleet.AddressTTL, 5*clock.Second)
+	setDefault(&site.Fleet.HeartbeatInterval, 300*clock.Millisecond)
 	setDefault(&site.Fleet.SuspectAfter, clock.Second)
 	setDefault(&site.Measuring.ReportsPerTargetPerSecond, 1)
 	for name, service := range site.Services {
@@ -27,15 +27,15 @@
 	setDefault(&service.Queue.Length, 256)
 	setDefault(&service.Queue.Wait, 500*clock.Millisecond)
 	setDefault(&service.Queue.RetryAfter, clock.Second)
-	setDefault(&service.ColdStart.Places, 1)
-	setDefault(&service.ColdStart.FullAfter, 10*clock.Second)
+	setDefault(&service.ColdStart.InitialPermits, 1)
+	setDefault(&service.ColdStart.RampUpTime, 10*clock.Second)
 	setDefault(&service.Retry.Attempts, 3)
 	setDefault(&service.Retry.BudgetShare, 0.1)
 	setDefault(&service.Retry.FailurePenalty, 100*clock.Millisecond)
 	setDefault(&service.Connections.ConnectTimeout, 500*clock.Millisecond)
-	setDefault(&service.Connections.IdleMost, 30*clock.Second)
+	setDefault(&service.Connections.IdleTimeout, 30*clock.Second)
 	setDefault(&service.Connections.FreshFor, clock.Second)
-	setDefault(&service.Connections.SilentMost, clock.Second)
+	setDefault(&service.Connections.AckTimeout, clock.Second)
 	setDefault(&service.ReportPath, "/load")
 	setDefault(&service.NotRunHeader, "Not-Run")
 	for name, class := range service.Classes {
@@ -48,17 +48,17 @@
 	if len(class.Paths) == 0 {
 		class.Paths = []string{servicePrefix}
 	}
-	setDefault(&class.BodyMost, 1<<20)
+	setDefault(&class.MaxBodySize, 1<<20)
 }
 
 // ApplyDefaults fills in what a process built in code left out; loading a file does so by itself.
 func (process *Process) ApplyDefaults() {
 	setDefault(&process.Platform.Timeout, clock.Second)
-	setDefault(&process.Platform.WatchMost, 10*clock.Second)
-	setDefault(&process.Callers.ConnectionsMost, 10000)
-	setDefault(&process.Callers.HeaderMost, 32<<10)
+	setDefault(&process.Platform.WatchTimeout, 10*clock.Second)
+	setDefault(&process.Callers.MaxConnections, 10000)
+	setDefault(&process.Callers.MaxHeaderSize, 32<<10)
 	setDefault(&process.Callers.HeaderTimeout, 5*clock.Second)
-	setDefault(&process.Callers.IdleMost, 2*clock.Minute)
-	setDefault(&process.Callers.StallMost, 10*clock.Second)
+	setDefault(&process.Callers.IdleTimeout, 2*clock.Minute)
+	setDefault(&process.Callers.MaxStall, 10*clock.Second)
 	setDefault(&process.LogLevel, "info")
 }
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -32,24 +32,24 @@
 	StoreAddress string `json:"storeAddress" jsonschema:"minLength=1"`
 	// Cores is the instance's share of a processor. Of several instances the larger ones serve first.
 	Cores float64 `json:"cores,omitempty" jsonschema:"exclusiveMinimum=0,default=1"`
-	// DescriptorsMost is the number of file descriptors that the process may use.
-	DescriptorsMost int `json:"descriptorsMost,omitempty" jsonschema:"minimum=64,default=4096"`
-	// FleetStarts says that all instances start for the first time, so that no caller waits for this one yet.
-	FleetStarts bool `json:"fleetStarts,omitempty"`
+	// MaxDescriptors is the number of file descriptors that the process may use.
+	MaxDescriptors int `json:"descriptorsMost,omitempty" jsonschema:"minimum=64,default=4096"`
+	// FleetBootstrap says that all instances start for the first time, so that no caller waits for this one yet.
+	FleetBootstrap bool `json:"fleetStarts,omitempty"`
 	// Bounds are agreed with the platform.
 	Bounds GatewayBounds `json:"bounds,omitzero"`
 	// LogLevel is the least level of log lines.
 	LogLevel string `json:"logLevel,omitempty" jsonschema:"enum=debug,enum=info,enum=warn,enum=error,default=info"`
-	// Doubts say which figures were not understood, and what stands in for them.
-	Doubts []Problem `json:"-"`
+	// Warnings say which figures were not understood, and what stands in for them.
+	Warnings []Problem `json:"-"`
 }
 
 // GatewayBounds are the limits agreed with the platform.
 type GatewayBounds struct {
-	// LeaveMost is how long after the signal to leave the process may still run.
-	LeaveMost clock.Milliseconds `json:"leaveMost,omitempty" jsonschema:"default=6s"`
-	// AnswerKeptMost is the longest time that callers keep an address answer.
-	AnswerKeptMost clock.Milliseconds `json:"answerKeptMost,omitempty" jsonschema:"default=5s"`
+	// DrainTimeout is how long after the signal to leave the process may still run.
+	DrainTimeout clock.Milliseconds `json:"leaveMost,omitempty" jsonschema:"default=6s"`
+	// MaxAddressTTL is the longest time that callers keep an address answer.
+	MaxAddressTTL clock.Milliseconds `json:"answerKeptMost,omitempty" jsonschema:"default=5s"`
 	// RetryShare is the share of a service's requests that may be sent again, over the whole fleet.
 	RetryShare float64 `json:"retryShare,omitempty" jsonschema:"minimum=0,maximum=1,default=0.2"`
 	// RetrySlack is the number of requests of a service that may be sent again beyond the share, over the whole fleet and in
@@ -78,7 +78,7 @@
 	// A figure that is given stays as it is, 0 as well.
 	gateway := &Gateway{}
 	gateway.ApplyDefaults()
-	document.text, gateway.Doubts = relaxGateway(document.name, document.text)
+	document.text, gateway.Warnings = relaxGateway(document.name, document.text)
 	if _, err := decodePair(document, nil, gatewayDefinition, gateway); err != nil {
 		return nil, err
 	}
@@ -88,9 +88,9 @@
 // ApplyDefaults fills in what was left out.
 func (gateway *Gateway) ApplyDefaults() {
 	setDefault(&gateway.Cores, 1)
-	setDefault(&gateway.DescriptorsMost, 4096)
-	setDefault(&gateway.Bounds.LeaveMost, 6*clock.Second)
-	setDefault(&gateway.Bounds.AnswerKeptMost, 5*clock.Second)
+	setDefault(&gateway.MaxDescriptors, 4096)
+	setDefault(&gateway.Bounds.DrainTimeout, 6*clock.Second)
+	setDefault(&gateway.Bounds.MaxAddressTTL, 5*clock.Second)
 	setDefault(&gateway.Bounds.RetryShare, 0.2)
 	setDefault(&gateway.Bounds.RetrySlack, 40)
 	setDefault(&gateway.Bounds.ProbesPerSecond, 60)
--- a/pkg/settings/text_fields_test.go
+++ b/pkg/settings/text_fields_test.go
@@ -43,15 +43,15 @@
 		{"a word", "retrySlack", "many", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 40, 1},
 		{"below zero", "retrySlack", "-3", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
 		{"no retries beyond the share", "retrySlack", "0", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
-		{"a word with a unit", "leaveMost", "manys", func(gateway *Gateway) any { return gateway.Bounds.LeaveMost }, 6 * clock.Second, 1},
+		{"a word with a unit", "leaveMost", "manys", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 1},
 		{"far too large", "retrySlack", "1e300", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, countMost, 0},
 		{"no number", "retryShare", "NaN", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 0.2, 1},
 		{"a share above one", "retryShare", "7", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 1.0, 0},
 		{"no probes at all", "probesPerSecond", "0", func(gateway *Gateway) any { return gateway.Bounds.ProbesPerSecond }, aboveZero, 0},
-		{"a unit without a figure", "leaveMost", "s", func(gateway *Gateway) any { return gateway.Bounds.LeaveMost }, 6 * clock.Second, 0},
-		{"an exponent with a unit", "leaveMost", "6e0s", func(gateway *Gateway) any { return gateway.Bounds.LeaveMost }, 6 * clock.Second, 0},
-		{"a fraction with a unit", "answerKeptMost", "2.5s", func(gateway *Gateway) any { return gateway.Bounds.AnswerKeptMost }, 2500 * clock.Millisecond, 0},
-		{"a length of another unit", "answerKeptMost", "250ms", func(gateway *Gateway) any { return gateway.Bounds.AnswerKeptMost }, 250 * clock.Millisecond, 0},
+		{"a unit without a figure", "leaveMost", "s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
+		{"an exponent with a unit", "leaveMost", "6e0s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
+		{"a fraction with a unit", "answerKeptMost", "2.5s", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 2500 * clock.Millisecond, 0},
+		{"a length of another unit", "answerKeptMost", "250ms", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 250 * clock.Millisecond, 0},
 		{"true", "failClosed", "true", func(gateway *Gateway) any { return gateway.Bounds.FailClosed }, true, 0},
 		{"neither true nor false", "failClosed", "perhaps", func(gateway *Gateway) any { return gateway.Bounds.FailClosed }, false, 1},
 	}
@@ -60,7 +60,7 @@
 			gateway, err := loadFigures(t, "0.16", map[string]string{testCase.field: testCase.text})
 			require.NoError(t, err)
 			require.Equal(t, testCase.expected, testCase.found(gateway))
-			require.Len(t, gateway.Doubts, testCase.doubts)
+			require.Len(t, gateway.Warnings, testCase.doubts)
 			require.InDelta(t, 0.16, gateway.Cores, 1e-9)
 		})
 	}
@@ -86,7 +86,7 @@
 		require.NoError(t, err, "%v", bounds)
 		require.Positive(t, gateway.Cores)
 		require.Positive(t, gateway.Bounds.ProbesPerSecond)
-		require.Positive(t, float64(gateway.Bounds.LeaveMost))
+		require.Positive(t, float64(gateway.Bounds.DrainTimeout))
 		require.LessOrEqual(t, gateway.Bounds.RetryShare, 1.0)
 		require.GreaterOrEqual(t, gateway.Bounds.RetrySlack, 0)
 	}
--- a/pkg/settings/types.go
+++ b/pkg/settings/types.go
@@ -72,16 +72,16 @@
 
 // Fleet tells how entry instances share the work.
 type Fleet struct {
-	// InstancesMost is the largest number of entry instances that ever run at once, replaced ones included. Each may
+	// MaxInstances is the largest number of entry instances that ever run at once, replaced ones included. Each may
 	// use its share of a target's connections, so the agreed number holds without a word between them.
-	InstancesMost int `json:"instancesMost" jsonschema:"minimum=1,maximum=1000"`
+	MaxInstances int `json:"instancesMost" jsonschema:"minimum=1,maximum=1000"`
 	// InstancesPerService is how many instances the address answer names for one service.
 	InstancesPerService int `json:"instancesPerService,omitempty" jsonschema:"minimum=1,default=3"`
-	// AnswerKept is how long callers may keep an address answer.
-	AnswerKept clock.Milliseconds `json:"answerKept,omitempty" jsonschema:"default=5s"`
-	// HeartbeatEvery is the time between two datagrams to one peer. Above 14 peers it grows with their number, so that
+	// AddressTTL is how long callers may keep an address answer.
+	AddressTTL clock.Milliseconds `json:"answerKept,omitempty" jsonschema:"default=5s"`
+	// HeartbeatInterval is the time between two datagrams to one peer. Above 14 peers it grows with their number, so that
 	// what an instance spends on them stays the same.
-	HeartbeatEvery clock.Milliseconds `json:"heartbeatEvery,omitempty" jsonschema:"default=300ms"`
+	HeartbeatInterval clock.Milliseconds `json:"heartbeatEvery,omitempty" jsonschema:"default=300ms"`
 	// SuspectAfter is the silence after which a peer is left out of address answers; it grows alike.
 	SuspectAfter clock.Milliseconds `json:"suspectAfter,omitempty" jsonschema:"default=1s"`
 }
@@ -132,12 +132,12 @@
 	Priority Priority `json:"priority" jsonschema:"minimum=0,maximum=7"`
 	// Timeout is the time a request has when its caller names no shorter one.
 	Timeout clock.Milliseconds `json:"timeout"`
-	// Aim is the time within which an answer is worth most to its caller; 0 means that only the timeout counts.
-	Aim clock.Milliseconds `json:"aim,omitempty"`
+	// SoftTimeout is the time within which an answer is worth most to its caller; 0 means that only the timeout counts.
+	SoftTimeout clock.Milliseconds `json:"aim,omitempty"`
 	// Attempts is the largest number of attempts of one request; 0 leaves it to the service's retry.attempts.
 	Attempts int `json:"attempts,omitempty" jsonschema:"minimum=0,maximum=10"`
-	// BodyMost is the largest request body.
-	BodyMost Bytes `json:"bodyMost,omitempty" jsonschema:"default=1MiB"`
+	// MaxBodySize is the largest request body.
+	MaxBodySize Bytes `json:"bodyMost,omitempty" jsonschema:"default=1MiB"`
 }
 
 // Queue bounds the requests that wait in an instance for a place on a backend server.
@@ -152,10 +152,10 @@
 
 // ColdStart tells how a backend server that has just started takes up work.
 type ColdStart struct {
-	// Places is how many requests it bears at first, over the whole fleet.
-	Places int `json:"places,omitempty" jsonschema:"minimum=1,default=1"`
-	// FullAfter is the time after which it bears as many as its slots.
-	FullAfter clock.Milliseconds `json:"fullAfter,omitempty" jsonschema:"default=10s"`
+	// InitialPermits is how many requests it bears at first, over the whole fleet.
+	InitialPermits int `json:"places,omitempty" jsonschema:"minimum=1,default=1"`
+	// RampUpTime is the time after which it bears as many as its slots.
+	RampUpTime clock.Milliseconds `json:"fullAfter,omitempty" jsonschema:"default=10s"`
 }
 
 // Retry bounds requests sent again.
@@ -173,13 +173,13 @@
 type Connections struct {
 	// ConnectTimeout is the time for making one.
 	ConnectTimeout clock.Milliseconds `json:"connectTimeout,omitempty" jsonschema:"default=500ms"`
-	// IdleMost is how long an unused one is kept.
-	IdleMost clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=30s"`
+	// IdleTimeout is how long an unused one is kept.
+	IdleTimeout clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=30s"`
 	// FreshFor is how long after its last byte a connection is taken to be alive; a request that is not idempotent
 	// goes on no older one.
 	FreshFor clock.Milliseconds `json:"freshFor,omitempty" jsonschema:"default=1s"`
-	// SilentMost is how long sent bytes may stay unacknowledged before the connection is given up.
-	SilentMost clock.Milliseconds `json:"silentMost,omitempty" jsonschema:"default=1s"`
+	// AckTimeout is how long sent bytes may stay unacknowledged before the connection is given up.
+	AckTimeout clock.Milliseconds `json:"silentMost,omitempty" jsonschema:"default=1s"`
 }
 
 // Process is what one instance's own file says: who it is and where it listens.
@@ -210,10 +210,10 @@
 	ConfigurationAddress string `json:"configurationAddress" jsonschema:"minLength=1"`
 	// InstancesAddress is the list of live and leaving instances, IP and port.
 	InstancesAddress string `json:"instancesAddress" jsonschema:"minLength=1"`
-	// Timeout is the time for one read; a watch may take WatchMost more.
+	// Timeout is the time for one read; a watch may take WatchTimeout more.
 	Timeout clock.Milliseconds `json:"timeout,omitempty" jsonschema:"default=1s"`
-	// WatchMost is how long one watch waits for a change.
-	WatchMost clock.Milliseconds `json:"watchMost,omitempty" jsonschema:"default=10s"`
+	// WatchTimeout is how long one watch waits for a change.
+	WatchTimeout clock.Milliseconds `json:"watchMost,omitempty" jsonschema:"default=10s"`
 }
 
 // Keys seal datagrams. Two are valid while one replaces the other.
@@ -226,14 +226,14 @@
 
 // Callers bounds what callers may cost an instance.
 type Callers struct {
-	// ConnectionsMost is the largest number of callers' connections.
-	ConnectionsMost int `json:"connectionsMost,omitempty" jsonschema:"minimum=1,default=10000"`
-	// HeaderMost is the largest request head.
-	HeaderMost Bytes `json:"headerMost,omitempty" jsonschema:"default=32KiB"`
+	// MaxConnections is the largest number of callers' connections.
+	MaxConnections int `json:"connectionsMost,omitempty" jsonschema:"minimum=1,default=10000"`
+	// MaxHeaderSize is the largest request head.
+	MaxHeaderSize Bytes `json:"headerMost,omitempty" jsonschema:"default=32KiB"`
 	// HeaderTimeout is the time for sending a request head.
 	HeaderTimeout clock.Milliseconds `json:"headerTimeout,omitempty" jsonschema:"default=5s"`
-	// IdleMost is how long an unused connection is kept.
-	IdleMost clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=2m"`
-	// StallMost is the longest pause within a body, in either direction.
-	StallMost clock.Milliseconds `json:"stallMost,omitempty" jsonschema:"default=10s"`
+	// IdleTimeout is how long an unused connection is kept.
+	IdleTimeout clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=2m"`
+	// MaxStall is the longest pause within a body, in either direction.
+	MaxStall clock.Milliseconds `json:"stallMost,omitempty" jsonschema:"default=10s"`
 }
