--- a/cmd/addresses.go
+++ b/cmd/addresses.go
@@ -23,7 +23,7 @@
 
 // Execute implements flags.Commander.
 func (addressesCommand *addressesCommand) Execute([]string) error {
-	text, err := ask(addressesCommand.Instance, caller.AddressesPath, url.Values{"service": {addressesCommand.Service}})
+	text, err := fetch(addressesCommand.Instance, caller.AddressesPath, url.Values{"service": {addressesCommand.Service}})
 	if err != nil {
 		return err
 	}
--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -32,8 +32,8 @@
 
 // Noise of neighbours in a comparison.
 const (
-	noiseShare = 0.03
-	noiseSlow  = 10
+	noiseShare  = 0.03
+	noiseFactor = 10
 )
 
 type compareCommand struct {
@@ -79,7 +79,7 @@
 	defer stop()
 	policies, err := parsePolicies(compareCommand.Policies)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	example, err := loadExample(compareCommand.Site)
 	if err != nil {
@@ -88,10 +88,10 @@
 	name := settings.ServiceName(compareCommand.Service)
 	compared, known := example.Services[name]
 	if !known {
-		return withCode(ExitUsage, errors.Newf("%s has no service %q", compareCommand.Site, name))
+		return withExitCode(ExitUsage, errors.Newf("%s has no service %q", compareCommand.Site, name))
 	}
 	example.Services = map[settings.ServiceName]settings.Service{name: compared}
-	experiment, sites, err := compareCommand.prepare(ctx, example, policies)
+	experiment, sites, err := compareCommand.prepareExperiment(ctx, example, policies)
 	defer closeAll(sites)
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 	}
 }
 
-// prepare starts a site for each policy.
-func (compareCommand *compareCommand) prepare(
+// prepareExperiment starts a site for each policy.
+func (compareCommand *compareCommand) prepareExperiment(
 	ctx context.Context, example *settings.Site, policies []comparedPolicy,
 ) (load.Experiment, []*sitetest.Site, error) {
 	name := settings.ServiceName(compareCommand.Service)
@@ -135,7 +135,7 @@
 		if !compareCommand.Quiet {
 			variant.During = func(ctx context.Context, round int) {
 				site.Make(ctx, name, sitetest.Noise{
-					Share: noiseShare, SlowBy: noiseSlow, Shortest: 50, Longest: 500, Seed: compareCommand.Seed + uint64(round),
+					Share: noiseShare, SlowBy: noiseFactor, Shortest: 50, Longest: 500, Seed: compareCommand.Seed + uint64(round),
 				})
 			}
 		}
@@ -150,7 +150,7 @@
 	slots := float64(example.Services[name].SlotsPerTarget * exampleTargets[compareCommand.Site][name])
 	mean := float64(compareCommand.ServiceTime) * math.Exp(serviceSigma*serviceSigma/2)
 	if !compareCommand.Quiet {
-		mean *= 1 + noiseShare*(noiseSlow-1)
+		mean *= 1 + noiseShare*(noiseFactor-1)
 	}
 	return compareCommand.Load * slots * float64(clock.Second) / mean
 }
--- a/cmd/emulate.go
+++ b/cmd/emulate.go
@@ -22,7 +22,7 @@
 func (emulateCommand *emulateCommand) Execute([]string) error {
 	experiment, err := emulate.LoadExperiment(emulateCommand.Args.Experiment)
 	if errors.Is(err, emulate.ErrExperiment) {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
 	if err != nil {
 		return err
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -27,7 +27,7 @@
 
 // Execute implements flags.Commander.
 func (explainCommand *explainCommand) Execute([]string) error {
-	text, err := ask(explainCommand.Operator, operator.ExplainPath, url.Values{"id": {explainCommand.Argument.ID}})
+	text, err := fetch(explainCommand.Operator, operator.ExplainPath, url.Values{"id": {explainCommand.Argument.ID}})
 	if err != nil {
 		return err
 	}
@@ -35,29 +35,29 @@
 		fmt.Fprintf(explainCommand.streams.out, "%s", text)
 		return nil
 	}
-	var story trace.Request
-	if err := json.Unmarshal(text, &story); err != nil {
+	var requestTrace trace.Request
+	if err := json.Unmarshal(text, &requestTrace); err != nil {
 		return errors.Wrapf(err, "answer of instance %s", explainCommand.Operator)
 	}
-	printStory(explainCommand.streams.out, story)
+	printTrace(explainCommand.streams.out, requestTrace)
 	return nil
 }
 
-// round shortens a time for reading.
-func round(length clock.Milliseconds) string {
+// formatMilliseconds shortens a time for reading.
+func formatMilliseconds(length clock.Milliseconds) string {
 	return fmt.Sprintf("%.2fms", float64(length))
 }
 
-func printStory(out io.Writer, story trace.Request) {
+func printTrace(out io.Writer, requestTrace trace.Request) {
 	fmt.Fprintf(out, "request %s, %s %s/%s, settings revision %d, time allowed %s\n",
-		story.ID, story.Method, story.Service, story.Class, story.Revision, round(story.Timeout))
-	for number, attempt := range story.Attempts {
-		fmt.Fprintf(out, "%d. %s\n", number+1, whyChosen(attempt))
+		requestTrace.ID, requestTrace.Method, requestTrace.Service, requestTrace.Class, requestTrace.Revision, formatMilliseconds(requestTrace.Timeout))
+	for number, attempt := range requestTrace.Attempts {
+		fmt.Fprintf(out, "%d. %s\n", number+1, describeChoice(attempt))
 		connection := "a new connection"
 		if attempt.Reused {
 			connection = "a kept connection"
 		}
-		fmt.Fprintf(out, "   sent on %s; after %s: %s", connection, round(attempt.Took), attempt.Result)
+		fmt.Fprintf(out, "   sent on %s; after %s: %s", connection, formatMilliseconds(attempt.Took), attempt.Result)
 		if attempt.Status != 0 {
 			fmt.Fprintf(out, ", status %d", attempt.Status)
 		}
@@ -66,15 +66,15 @@
 		}
 		fmt.Fprintln(out)
 	}
-	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", story.Outcome, story.Reason, story.Status, round(story.Whole))
-	if story.Error != "" {
-		fmt.Fprintf(out, "because: %s\n", story.Error)
+	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", requestTrace.Outcome, requestTrace.Reason, requestTrace.Status, formatMilliseconds(requestTrace.Whole))
+	if requestTrace.Error != "" {
+		fmt.Fprintf(out, "because: %s\n", requestTrace.Error)
 	}
 }
 
-func whyChosen(attempt trace.Attempt) string {
+func describeChoice(attempt trace.Attempt) string {
 	if attempt.Considered == 0 {
-		return fmt.Sprintf("no place was free; waited %s until %s in %s had one", round(attempt.Waited), attempt.Target, attempt.DataCentre)
+		return fmt.Sprintf("no place was free; waited %s until %s in %s had one", formatMilliseconds(attempt.Waited), attempt.Target, attempt.DataCentre)
 	}
 	return fmt.Sprintf("of %d targets with a free place, %s in %s had the smallest share taken (%d with this request)",
 		attempt.Considered, attempt.Target, attempt.DataCentre, attempt.Taken)
--- a/cmd/fetch.go
+++ b/cmd/fetch.go
@@ -11,20 +11,20 @@
 
 // Bounds of a question to an instance.
 const (
-	askTimeout = 5 * time.Second
-	askMost    = 64 << 20
+	fetchTimeout    = 5 * time.Second
+	maxResponseSize = 64 << 20
 )
 
-// ask reads one page of an instance. A status other than 200 is an error that carries what the instance said.
-func ask(address, path string, query url.Values) ([]byte, error) {
-	client := &http.Client{Timeout: askTimeout}
+// fetch reads one page of an instance. A status other than 200 is an error that carries what the instance said.
+func fetch(address, path string, query url.Values) ([]byte, error) {
+	client := &http.Client{Timeout: fetchTimeout}
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	response, err := client.Get(target.String())
 	if err != nil {
 		return nil, errors.Wrapf(err, "ask instance %s", address)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, askMost))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
 		return nil, errors.Wrapf(err, "read the answer of instance %s", address)
 	}
--- a/cmd/fleet.go
+++ b/cmd/fleet.go
@@ -40,14 +40,14 @@
 	streams    streams
 }
 
-var errFleetDiffers = errors.New("the instances do not agree")
+var errFleetInconsistent = errors.New("the instances do not agree")
 
 // fleetLine is one instance, as it sees itself or as the first one sees it when it does not answer.
 type fleetLine struct {
 	status fleet.Status
 	err    error
-	// wrong says that a problem names the instance.
-	wrong bool
+	// hasProblem says that a problem names the instance.
+	hasProblem bool
 }
 
 // problem is what is wrong with an instance.
@@ -58,17 +58,17 @@
 
 // Execute implements flags.Commander.
 func (fleetCommand *fleetCommand) Execute([]string) error {
-	first, err := askFleetStatus(fleetCommand.Operator)
+	first, err := fetchFleetStatus(fleetCommand.Operator)
 	if err != nil {
 		return err
 	}
-	lines, err := askPeers(fleetCommand.Operator, first)
+	lines, err := fetchPeers(fleetCommand.Operator, first)
 	if err != nil {
 		return err
 	}
 	problems := fleetProblems(lines)
 	sortFleet(lines, problems)
-	shown := slices.DeleteFunc(slices.Clone(lines), func(line fleetLine) bool { return !fleetCommand.shows(line) })
+	shown := slices.DeleteFunc(slices.Clone(lines), func(line fleetLine) bool { return !fleetCommand.matchesFilters(line) })
 	printLines := printFleet
 	if fleetCommand.Teams {
 		printLines = printTeams
@@ -81,25 +81,25 @@
 		fmt.Fprintln(fleetCommand.streams.out, problem.text)
 	}
 	if len(problems) > 0 {
-		return errFleetDiffers
+		return errFleetInconsistent
 	}
 	return nil
 }
 
-// shows reports whether the filters let a line through.
-func (fleetCommand *fleetCommand) shows(line fleetLine) bool {
+// matchesFilters reports whether the filters let a line through.
+func (fleetCommand *fleetCommand) matchesFilters(line fleetLine) bool {
 	return (fleetCommand.DataCentre == "" || string(line.status.DataCentre) == fleetCommand.DataCentre) &&
-		(fleetCommand.State == "" || line.status.State == fleetCommand.State) && (!fleetCommand.Problems || line.wrong)
+		(fleetCommand.State == "" || line.status.State == fleetCommand.State) && (!fleetCommand.Problems || line.hasProblem)
 }
 
 // sortFleet puts first what is wrong, then what serves.
 func sortFleet(lines []fleetLine, problems []problem) {
 	for index := range lines {
-		lines[index].wrong = slices.ContainsFunc(problems, func(problem problem) bool { return problem.instance == lines[index].status.Instance })
+		lines[index].hasProblem = slices.ContainsFunc(problems, func(problem problem) bool { return problem.instance == lines[index].status.Instance })
 	}
 	order := func(line fleetLine) int {
 		switch {
-		case line.wrong:
+		case line.hasProblem:
 			return 0
 		case line.status.State == membership.Serving.String():
 			return 1
@@ -129,46 +129,46 @@
 	return strings.TrimSuffix(text, ",")
 }
 
-func askFleetStatus(address string) (fleet.Status, error) {
+func fetchFleetStatus(address string) (fleet.Status, error) {
 	var status fleet.Status
-	text, err := ask(address, operator.StatusPath, nil)
+	text, err := fetch(address, operator.StatusPath, nil)
 	if err != nil {
 		return status, err
 	}
 	return status, errors.Wrapf(json.Unmarshal(text, &status), "answer of instance %s", address)
 }
 
-// askedAtOnce is the number of instances that are asked at the same time.
-const askedAtOnce = 32
+// maxConcurrentFetches is the number of instances that are asked at the same time.
+const maxConcurrentFetches = 32
 
-// askPeers asks all instances that the first one knows, several at a time, and returns them by name.
-func askPeers(address string, first fleet.Status) ([]fleetLine, error) {
+// fetchPeers asks all instances that the first one knows, several at a time, and returns them by name.
+func fetchPeers(address string, first fleet.Status) ([]fleetLine, error) {
 	own, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Wrap(err, "operator address")
 	}
 	lines := make([]fleetLine, len(first.Peers)+1)
 	lines[len(first.Peers)].status = first
-	var asking sync.WaitGroup
-	places := make(chan struct{}, askedAtOnce)
+	var fetches sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentFetches)
 	for index, peer := range first.Peers {
-		asking.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			lines[index] = askPeer(own.Port(), peer)
+		fetches.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			lines[index] = fetchPeer(own.Port(), peer)
 		})
 	}
-	asking.Wait()
+	fetches.Wait()
 	return lines, nil
 }
 
-func askPeer(port uint16, peer fleet.PeerStatus) fleetLine {
+func fetchPeer(port uint16, peer fleet.PeerStatus) fleetLine {
 	known := fleet.Status{Instance: peer.Name, DataCentre: peer.DataCentre, State: peer.State, Revision: peer.Revision, Version: peer.Version}
 	address, err := netip.ParseAddrPort(peer.Address)
 	if err != nil {
 		return fleetLine{status: known, err: err}
 	}
-	status, err := askFleetStatus(netip.AddrPortFrom(address.Addr(), port).String())
+	status, err := fetchFleetStatus(netip.AddrPortFrom(address.Addr(), port).String())
 	if err != nil {
 		return fleetLine{status: known, err: err}
 	}
--- a/cmd/fleet_teams.go
+++ b/cmd/fleet_teams.go
@@ -16,8 +16,8 @@
 // teamLine is one team over all instances that answered.
 type teamLine struct {
 	usage quota.Usage
-	// by are the instances that let its requests in or refused them.
-	by []settings.InstanceName
+	// instances are the instances that let its requests in or refused them.
+	instances []settings.InstanceName
 }
 
 // teamLines adds up what the instances tell, the most refused teams first.
@@ -33,7 +33,7 @@
 			team.usage.Admitted += usage.Admitted
 			team.usage.Refused += usage.Refused
 			team.usage.Returned += usage.Returned
-			team.by = append(team.by, line.status.Instance)
+			team.instances = append(team.instances, line.status.Instance)
 		}
 	}
 	teams := make([]teamLine, 0, len(byName))
@@ -51,7 +51,8 @@
 	fmt.Fprintln(table, "team\trate\tasked\tlet in\trefused\treturned\tby")
 	for _, team := range teamLines(lines) {
 		usage := team.usage
-		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%v\n", usage.Team, usage.Rate, usage.Admitted+usage.Refused, usage.Admitted, usage.Refused, usage.Returned, team.by)
+		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%v\n", usage.Team, usage.Rate, usage.Admitted+usage.Refused,
+			usage.Admitted, usage.Refused, usage.Returned, team.instances)
 	}
 	return errors.Wrap(table.Flush(), "write table")
 }
--- a/cmd/fleet_test.go
+++ b/cmd/fleet_test.go
@@ -33,7 +33,7 @@
 
 // Operators look at the fleet when something is wrong with a part of it. An instance that does not answer, one that is stuck at an
 // old configuration, and two that don't hear each other must be named, and a script must see that by the exit code.
-func TestFleetShowsWhatDoesNotFit(t *testing.T) {
+func TestFleetShowsInconsistencies(t *testing.T) {
 	cases := []struct {
 		name     string
 		second   fleet.Status
@@ -78,20 +78,20 @@
 			address := statusServer(t, "127.7.7.1:0", func() fleet.Status { return first })
 			port := netip.MustParseAddrPort(address).Port()
 			statusServer(t, fmt.Sprintf("127.7.7.2:%d", port), func() fleet.Status { return testCase.second })
-			code, out, _ := runLine("fleet", "--operator", address)
+			code, out, _ := runCommandLine("fleet", "--operator", address)
 			require.Equal(t, testCase.code, code, out)
 			for _, expected := range testCase.expected {
 				require.Contains(t, out, expected)
 			}
 		})
 	}
-	code, _, err := runLine("fleet", "--operator", "127.7.7.9:1")
+	code, _, err := runCommandLine("fleet", "--operator", "127.7.7.9:1")
 	require.Equal(t, ExitFailure, code)
 	require.Contains(t, err, "127.7.7.9:1")
 }
 
 // Guards against a listing of hundreds in which the one that is wrong can't be found.
-func TestFleetShowsFirstWhatIsWrong(t *testing.T) {
+func TestFleetShowsProblemsFirst(t *testing.T) {
 	first := fleet.Status{Instance: "entry-1", DataCentre: "sofia-a", State: "standingBy", Version: 7}
 	states := map[string]fleet.Status{
 		"127.7.8.2": {Instance: "entry-2", DataCentre: "sofia-b", State: "serving", Version: 7},
@@ -116,7 +116,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			code, out, _ := runLine(append([]string{"fleet", "--operator", address}, testCase.options...)...)
+			code, out, _ := runCommandLine(append([]string{"fleet", "--operator", address}, testCase.options...)...)
 			require.Equal(t, ExitFailure, code)
 			lines := strings.Split(out, "\n")
 			var shown []string
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -25,17 +25,17 @@
 
 // Running a gateway.
 const (
-	// logLines is the number of log lines that may wait to be written; more are dropped and counted, so that a slow
+	// logBufferLines is the number of log lines that may wait to be written; more are dropped and counted, so that a slow
 	// reader of the log never holds up a request.
-	logLines = 2048
-	// logPoll is how often waiting lines are written.
-	logPoll = 20 * time.Millisecond
-	// watchFileEvery is how often the settings file is looked at: it may change without a signal, and file events are
+	logBufferLines = 2048
+	// logFlushInterval is how often waiting lines are written.
+	logFlushInterval = 20 * time.Millisecond
+	// filePollInterval is how often the settings file is looked at: it may change without a signal, and file events are
 	// not to be had on the platform.
-	watchFileEvery = 500 * time.Millisecond
-	// gatewayGC is the growth of the heap between two collections, in percent: memory costs more here than the processor
+	filePollInterval = 500 * time.Millisecond
+	// gcPercent is the growth of the heap between two collections, in percent: memory costs more here than the processor
 	// time that fewer collections would save.
-	gatewayGC = 100
+	gcPercent = 100
 )
 
 type gatewayCommand struct {
@@ -47,15 +47,15 @@
 func (gatewayCommand *gatewayCommand) Execute([]string) error {
 	file, err := settings.LoadGateway(gatewayCommand.Settings)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	level, err := zerolog.ParseLevel(file.LogLevel)
 	if err != nil {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
-	debug.SetGCPercent(gatewayGC)
-	var missed int
-	writer := diode.NewWriter(gatewayCommand.streams.out, logLines, logPoll, func(count int) { missed += count })
+	debug.SetGCPercent(gcPercent)
+	var droppedLines int
+	writer := diode.NewWriter(gatewayCommand.streams.out, logBufferLines, logFlushInterval, func(count int) { droppedLines += count })
 	defer func() {
 		// What was still to be written is on its way out; nobody is left to be told of a failure.
 		_ = writer.Close()
@@ -72,31 +72,31 @@
 	if err != nil {
 		return err
 	}
-	for _, doubt := range file.Warnings {
-		log.Warn().Str("field", doubt.Path).Str("problem", doubt.Reason).Msg("settings not understood in part")
+	for _, warning := range file.Warnings {
+		log.Warn().Str("field", warning.Path).Str("problem", warning.Reason).Msg("settings not understood in part")
 	}
 	log.Info().Str("callers", file.CallerAddress).Str("dataCentre", string(file.DataCentre)).Msg("started")
-	defer func() { log.Info().Int("linesDropped", missed).Msg("stopped") }()
+	defer func() { log.Info().Int("linesDropped", droppedLines).Msg("stopped") }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go gatewayCommand.watchFile(ctx, started, log)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	return leaver{serve: started.Serve, leave: started.Leave, forces: fromTerminal, bounded: true}.run(signals, 0)
+	return lifecycle{serve: started.Serve, drain: started.Leave, forcesExit: isInterrupt, bounded: true}.run(signals, 0)
 }
 
-// fromTerminal reports whether a person has asked for the end. The platform may repeat SIGTERM while an instance leaves, as when two
+// isInterrupt reports whether a person has asked for the end. The platform may repeat SIGTERM while an instance leaves, as when two
 // restarts overlap; it kills what takes too long by itself. Ending at once would cut off requests that have seconds left.
-func fromTerminal(signal os.Signal) bool {
+func isInterrupt(signal os.Signal) bool {
 	return signal == syscall.SIGINT
 }
 
 // watchFile reads the settings anew when they have changed. A file that can't be right changes nothing.
 func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, started *gateway.Gateway, log zerolog.Logger) {
-	ticker := time.NewTicker(watchFileEvery)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
-	before := modified(gatewayCommand.Settings)
+	before := statFile(gatewayCommand.Settings)
 	for {
 		why := "the file has changed"
 		select {
@@ -105,11 +105,11 @@
 		case <-hangup.Signals():
 			why = "signal"
 		case <-ticker.C:
-			if modified(gatewayCommand.Settings) == before {
+			if statFile(gatewayCommand.Settings) == before {
 				continue
 			}
 		}
-		before = modified(gatewayCommand.Settings)
+		before = statFile(gatewayCommand.Settings)
 		file, err := settings.LoadGateway(gatewayCommand.Settings)
 		if err == nil {
 			err = started.Reload(ctx, file)
@@ -128,7 +128,7 @@
 	size int64
 }
 
-func modified(path string) fileState {
+func statFile(path string) fileState {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) || info == nil {
 		return fileState{}
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -39,11 +39,11 @@
 }
 
 var (
-	errNoDirect   = errors.New("direct needs --site: the addresses of real backend servers are the instances' to know")
-	errOneSource  = errors.New("give either --site or --ask")
-	errMixNeeded  = errors.New("--ask needs --mix")
-	errNoVariant  = errors.New("variants are direct and through")
-	errRateOrTime = errors.New("--rate, --slice and --rounds must be above zero")
+	errDirectNeedsSite = errors.New("direct needs --site: the addresses of real backend servers are the instances' to know")
+	errOneSource       = errors.New("give either --site or --ask")
+	errMixRequired     = errors.New("--ask needs --mix")
+	errUnknownVariant  = errors.New("variants are direct and through")
+	errNotPositive     = errors.New("--rate, --slice and --rounds must be above zero")
 )
 
 // Execute implements flags.Commander.
@@ -51,7 +51,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := loadCommand.check(); err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	experiment := load.Experiment{
 		Rate: loadCommand.Rate, Seed: loadCommand.Seed, Slice: loadCommand.Slice.Duration(), Rounds: loadCommand.Rounds,
@@ -59,7 +59,7 @@
 	if loadCommand.Mix != "" {
 		mix, err := load.ReadMix(loadCommand.Mix)
 		if err != nil {
-			return withCode(ExitInvalid, err)
+			return withExitCode(ExitInvalid, err)
 		}
 		experiment.Mix = mix
 	}
@@ -78,7 +78,7 @@
 		}
 	}
 	if err := loadCommand.addVariants(&experiment, site); err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	return loadCommand.report(load.Run(ctx, experiment))
 }
@@ -88,9 +88,9 @@
 	case (loadCommand.Site == "") == (len(loadCommand.Ask) == 0):
 		return errOneSource
 	case loadCommand.Site == "" && loadCommand.Mix == "":
-		return errMixNeeded
+		return errMixRequired
 	case loadCommand.Rate <= 0 || loadCommand.Slice <= 0 || loadCommand.Rounds <= 0:
-		return errRateOrTime
+		return errNotPositive
 	default:
 		return nil
 	}
@@ -132,11 +132,11 @@
 		case name == "through":
 			experiment.Variants = append(experiment.Variants, load.Variant{Name: name, Send: load.ThroughInstances(seeds)})
 		case name == "direct" && site == nil:
-			return errNoDirect
+			return errDirectNeedsSite
 		case name == "direct":
 			experiment.Variants = append(experiment.Variants, load.Variant{Name: name, Send: load.Direct(addressesOf(site))})
 		default:
-			return errors.Wrapf(errNoVariant, "%q", name)
+			return errors.Wrapf(errUnknownVariant, "%q", name)
 		}
 	}
 	return nil
--- a/cmd/main.go
+++ b/cmd/main.go
@@ -44,8 +44,8 @@
 	return exitError.cause
 }
 
-// withCode makes the program end with code.
-func withCode(code int, cause error) error {
+// withExitCode makes the program end with code.
+func withExitCode(code int, cause error) error {
 	if cause == nil {
 		return nil
 	}
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -24,8 +24,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// runLine runs a command line and returns its exit code and what it wrote.
-func runLine(arguments ...string) (code int, out, err string) {
+// runCommandLine runs a command line and returns its exit code and what it wrote.
+func runCommandLine(arguments ...string) (code int, out, err string) {
 	var outBuffer, errBuffer bytes.Buffer
 	code = run(arguments, streams{out: &outBuffer, err: &errBuffer})
 	return code, outBuffer.String(), errBuffer.String()
@@ -59,7 +59,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			code, out, err := runLine(testCase.arguments...)
+			code, out, err := runCommandLine(testCase.arguments...)
 			require.Equal(t, testCase.code, code, "%s%s", out, err)
 			require.Contains(t, out, testCase.out)
 			require.Contains(t, err, testCase.err)
@@ -81,8 +81,8 @@
 	}{
 		{"one signal", []os.Signal{syscall.SIGTERM}, nil, true, nil, nil},
 		{"two signals", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, nil, false, nil, errSecondSignal},
-		{"repeated by the platform", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, fromTerminal, true, nil, nil},
-		{"from a terminal", []os.Signal{syscall.SIGTERM, syscall.SIGINT}, fromTerminal, false, nil, errSecondSignal},
+		{"repeated by the platform", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, isInterrupt, true, nil, nil},
+		{"from a terminal", []os.Signal{syscall.SIGTERM, syscall.SIGINT}, isInterrupt, false, nil, errSecondSignal},
 		{"no signal", nil, nil, false, errServe, errServe},
 	}
 	for _, testCase := range cases {
@@ -91,7 +91,7 @@
 			for _, signal := range testCase.signals {
 				signals <- signal
 			}
-			err := leaver{
+			err := lifecycle{
 				serve: func(ctx context.Context) error {
 					if testCase.serve != nil {
 						return testCase.serve
@@ -99,21 +99,21 @@
 					<-ctx.Done()
 					return nil
 				},
-				leave: func(ctx context.Context) error {
+				drain: func(ctx context.Context) error {
 					if !testCase.leaves {
 						<-ctx.Done()
 					}
 					return nil
 				},
-				forces: testCase.forces,
+				forcesExit: testCase.forces,
 			}.run(signals, clock.Minute)
 			require.ErrorIs(t, err, testCase.want)
 		})
 	}
 }
 
-// answering serves one JSON value at a path, as an instance does to its operators.
-func answering(t *testing.T, path string, value any) string {
+// startJSONServer serves one JSON value at a path, as an instance does to its operators.
+func startJSONServer(t *testing.T, path string, value any) string {
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
@@ -124,31 +124,31 @@
 }
 
 func TestStatusIsReadable(t *testing.T) {
-	address := answering(t, operator.StatusPath, control.Status{
+	address := startJSONServer(t, operator.StatusPath, control.Status{
 		Instance: "entry-1", Ready: true, Problems: map[string]string{"site": "wrong"},
 		Peers: []control.PeerStatus{{Name: "entry-2", Suspected: true}},
 		Services: []control.ServiceStatus{{Name: "browsing", Targets: []control.TargetStatus{
 			{TargetState: service.TargetState{Name: "browsing-1", Own: 3, Limit: 6}, Phase: "warm", Owned: true},
 		}}},
 	})
-	code, out, _ := runLine("status", "--operator", address)
+	code, out, _ := runCommandLine("status", "--operator", address)
 	require.Equal(t, ExitOK, code)
 	for _, part := range []string{"instance entry-1", "REFUSED site: wrong", "entry-2", "browsing-1", "warm"} {
 		require.Contains(t, out, part)
 	}
-	code, out, _ = runLine("status", "--json", "--operator", address)
+	code, out, _ = runCommandLine("status", "--json", "--operator", address)
 	require.Equal(t, ExitOK, code)
 	require.True(t, json.Valid([]byte(out)))
 }
 
 func TestExplainIsReadable(t *testing.T) {
-	address := answering(t, operator.ExplainPath, trace.Request{
+	address := startJSONServer(t, operator.ExplainPath, trace.Request{
 		ID: "r-1", Outcome: "answered", Attempts: []trace.Attempt{
 			{Target: "browsing-1", Considered: 20, Taken: 2, Result: trace.ResultCut, Error: "connection reset"},
 			{Target: "browsing-2", Waited: 12, Reused: true, Status: 200, Result: trace.ResultAnswered},
 		},
 	})
-	code, out, _ := runLine("explain", "--operator", address, "r-1")
+	code, out, _ := runCommandLine("explain", "--operator", address, "r-1")
 	require.Equal(t, ExitOK, code)
 	for _, part := range []string{
 		"of 20 targets with a free place, browsing-1", "connection reset", "waited 12.00ms until browsing-2", "a kept connection", "outcome answered",
@@ -157,21 +157,21 @@
 	}
 }
 
-// watched is a writer that ends a command once it has written what was waited for.
-type watched struct {
-	mutex sync.Mutex
-	text  strings.Builder
-	until string
-	end   context.CancelFunc
+// cancelingWriter is a writer that ends a command once it has written what was waited for.
+type cancelingWriter struct {
+	mutex  sync.Mutex
+	text   strings.Builder
+	until  string
+	cancel context.CancelFunc
 }
 
 // Write implements io.Writer.
-func (watched *watched) Write(text []byte) (int, error) {
+func (watched *cancelingWriter) Write(text []byte) (int, error) {
 	watched.mutex.Lock()
 	defer watched.mutex.Unlock()
 	watched.text.Write(text)
 	if strings.Contains(watched.text.String(), watched.until) {
-		watched.end()
+		watched.cancel()
 	}
 	return len(text), nil
 }
@@ -180,7 +180,7 @@
 func TestTry(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	out := &watched{until: "malabon      ", end: end}
+	out := &cancelingWriter{until: "malabon      ", cancel: end}
 	try := tryCommand{Instances: 3, Rate: 20, streams: streams{out: out, err: io.Discard}}
 	require.NoError(t, try.run(ctx))
 	for _, part := range []string{"Kalinga Gateway", "curl -i -H 'Host: slots.rodopa.example'", "jaywheel status --operator", "rodopa "} {
@@ -189,17 +189,17 @@
 }
 
 func TestAddressesCommand(t *testing.T) {
-	address := answering(t, "/jaywheel/v1/addresses", json.RawMessage(
+	address := startJSONServer(t, "/jaywheel/v1/addresses", json.RawMessage(
 		`{"service": "browsing", "keep": "5s", "revision": 3, "addresses": [{"instance": "entry-1", "address": "10.0.0.1:80", "dataCentre": "sofia-1"}]}`))
-	code, out, _ := runLine("addresses", "--instance", address, "--service", "browsing")
+	code, out, _ := runCommandLine("addresses", "--instance", address, "--service", "browsing")
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, "settings revision 3, keep for 5s")
 	require.Contains(t, out, "10.0.0.1:80")
 }
 
-func TestLoadOnStandIns(t *testing.T) {
+func TestLoadOnExampleSite(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "report")
-	code, out, err := runLine("load", "--site", "malabon", "--instances", "2", "--rate", "100", "--slice", "100ms", "--rounds", "1",
+	code, out, err := runCommandLine("load", "--site", "malabon", "--instances", "2", "--rate", "100", "--slice", "100ms", "--rounds", "1",
 		"--service-time", "0ms", "--out", directory)
 	require.Equal(t, ExitOK, code, err)
 	require.Contains(t, out, "through against direct")
--- a/cmd/render.go
+++ b/cmd/render.go
@@ -29,7 +29,7 @@
 	}
 	changed, err := settings.WriteDocuments(renderCommand.Out, documents)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	fmt.Fprintf(renderCommand.streams.out, "%d of %d documents changed\n", len(changed), len(documents))
 	for _, key := range changed {
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -19,10 +19,10 @@
 way, and exits with 0. A second signal ends it at once, with 4. Log lines are JSON on standard error.`
 
 type serveCommand struct {
-	Settings  string             `long:"settings" value-name:"FILE" required:"yes" description:"The instance's own settings"`
-	Overlay   string             `long:"overlay" value-name:"FILE" description:"Overlay for the instance's settings"`
-	LeaveMost clock.Milliseconds `long:"leave-most" value-name:"TIME" default:"10m" description:"Longest time for leaving, with its unit; the rest is cut off"`
-	streams   streams
+	Settings     string             `long:"settings" value-name:"FILE" required:"yes" description:"The instance's own settings"`
+	Overlay      string             `long:"overlay" value-name:"FILE" description:"Overlay for the instance's settings"`
+	DrainTimeout clock.Milliseconds `long:"leave-most" value-name:"TIME" default:"10m" description:"Longest time for leaving, with its unit; the rest is cut off"`
+	streams      streams
 }
 
 var errSecondSignal = errors.New("ended at once by a second signal")
@@ -31,11 +31,11 @@
 func (serveCommand *serveCommand) Execute([]string) error {
 	process, err := settings.LoadProcess(serveCommand.Settings, serveCommand.Overlay)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	level, err := zerolog.ParseLevel(process.LogLevel)
 	if err != nil {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
 	log := zerolog.New(serveCommand.streams.err).Level(level).With().Timestamp().Str("instance", string(process.Instance)).Logger()
 	started, err := entry.New(entry.Options{Settings: process, Log: log})
@@ -46,25 +46,25 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	return serveUntil(started, signals, serveCommand.LeaveMost)
+	return serveUntilSignal(started, signals, serveCommand.DrainTimeout)
 }
 
-// leaver is the part of an instance that serveUntil needs.
-type leaver struct {
+// lifecycle is the part of an instance that serveUntil needs.
+type lifecycle struct {
 	serve func(context.Context) error
-	leave func(context.Context) error
-	// forces reports whether a second signal ends the process at once; nil stands for any.
-	forces func(os.Signal) bool
+	drain func(context.Context) error
+	// forcesExit reports whether a second signal ends the process at once; nil stands for any.
+	forcesExit func(os.Signal) bool
 	// bounded says that leave ends in time by itself.
 	bounded bool
 }
 
-func serveUntil(started *entry.Entry, signals <-chan os.Signal, leaveMost clock.Milliseconds) error {
-	return leaver{serve: started.Serve, leave: started.Leave}.run(signals, leaveMost)
+func serveUntilSignal(started *entry.Entry, signals <-chan os.Signal, drainTimeout clock.Milliseconds) error {
+	return lifecycle{serve: started.Serve, drain: started.Leave}.run(signals, drainTimeout)
 }
 
 // run serves until the first signal, leaves, and ends at once on the second.
-func (leaver leaver) run(signals <-chan os.Signal, leaveMost clock.Milliseconds) error {
+func (leaver lifecycle) run(signals <-chan os.Signal, drainTimeout clock.Milliseconds) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	served := make(chan error, 1)
@@ -74,21 +74,21 @@
 		return err
 	case <-signals:
 	}
-	left := make(chan error, 1)
-	leaving, giveUp := ctx, func() {}
+	drained := make(chan error, 1)
+	drainCtx, cancelDrain := ctx, func() {}
 	if !leaver.bounded {
-		leaving, giveUp = context.WithTimeout(ctx, leaveMost.Duration())
+		drainCtx, cancelDrain = context.WithTimeout(ctx, drainTimeout.Duration())
 	}
-	defer giveUp()
-	go func() { left <- leaver.leave(leaving) }()
+	defer cancelDrain()
+	go func() { drained <- leaver.drain(drainCtx) }()
 	for {
 		select {
-		case err := <-left:
+		case err := <-drained:
 			cancel()
 			return errors.CombineErrors(err, <-served)
 		case second := <-signals:
-			if leaver.forces == nil || leaver.forces(second) {
-				return withCode(ExitForced, errSecondSignal)
+			if leaver.forcesExit == nil || leaver.forcesExit(second) {
+				return withExitCode(ExitForced, errSecondSignal)
 			}
 		}
 	}
--- a/cmd/settings.go
+++ b/cmd/settings.go
@@ -18,13 +18,13 @@
 
 func (siteFlags *siteFlags) load() (*settings.Loaded, error) {
 	loaded, err := settings.LoadSite(siteFlags.Base, siteFlags.Overlay)
-	return loaded, invalidCode(err)
+	return loaded, withInvalidCode(err)
 }
 
-// invalidCode gives refused settings their exit code.
-func invalidCode(err error) error {
+// withInvalidCode gives refused settings their exit code.
+func withInvalidCode(err error) error {
 	if settings.IsErrInvalid(err) {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
 	return err
 }
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -24,7 +24,7 @@
 
 // Execute implements flags.Commander.
 func (statusCommand *statusCommand) Execute([]string) error {
-	text, err := ask(statusCommand.Operator, operator.StatusPath, nil)
+	text, err := fetch(statusCommand.Operator, operator.StatusPath, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/try.go
+++ b/cmd/try.go
@@ -56,7 +56,7 @@
 			return err
 		}
 		defer site.Close()
-		tryCommand.introduce(user, site)
+		tryCommand.printUsage(user, site)
 		generator, err := tryCommand.startTraffic(ctx, user, site)
 		if err != nil {
 			return err
@@ -64,7 +64,7 @@
 		generators = append(generators, generator)
 	}
 	fmt.Fprintln(tryCommand.streams.out, "\nBackend servers start cold, so the first seconds answer slowly or not at all. Ctrl-C stops.")
-	tryCommand.show(ctx, generators)
+	tryCommand.showProgress(ctx, generators)
 	return nil
 }
 
@@ -82,7 +82,7 @@
 	})
 }
 
-func (tryCommand *tryCommand) introduce(user string, site *sitetest.Site) {
+func (tryCommand *tryCommand) printUsage(user string, site *sitetest.Site) {
 	out := tryCommand.streams.out
 	fmt.Fprintf(out, "\n%s (%s)\n", user, site.Settings.Gateway)
 	first := site.Entries()[0]
@@ -115,8 +115,8 @@
 	return seeds
 }
 
-// show prints a line a second for each site.
-func (tryCommand *tryCommand) show(ctx context.Context, generators []*load.Generator) {
+// showProgress prints a line a second for each site.
+func (tryCommand *tryCommand) showProgress(ctx context.Context, generators []*load.Generator) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
--- a/pkg/jaywheelclient/client.go
+++ b/pkg/jaywheelclient/client.go
@@ -34,9 +34,9 @@
 
 // Bounds of what the client does by itself.
 const (
-	askTimeout     = 2 * clock.Second
-	connectTimeout = 500 * clock.Millisecond
-	answerMost     = 1 << 20
+	addressesTimeout = 2 * clock.Second
+	connectTimeout   = 500 * clock.Millisecond
+	maxResponseSize  = 1 << 20
 )
 
 // ErrNoInstance says that no instance could be asked or connected to. The request did not run.
@@ -55,15 +55,15 @@
 	options Options
 	http    *http.Client
 
-	mutex   sync.Mutex
-	answers map[settings.ServiceName]*answer
+	mutex sync.Mutex
+	cache map[settings.ServiceName]*addressList
 }
 
-// answer is what an instance said, and until when it holds.
-type answer struct {
-	addresses []string
-	until     time.Time
-	asking    bool
+// addressList is what an instance said, and until when it holds.
+type addressList struct {
+	addresses  []string
+	expires    time.Time
+	refreshing bool
 }
 
 // New returns a client.
@@ -77,11 +77,11 @@
 		MaxIdleConnsPerHost: options.MaxIdleConnections,
 		DisableCompression:  true,
 	}
-	refuseRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	rejectRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
 		options: options,
-		http:    &http.Client{Transport: transport, CheckRedirect: refuseRedirects},
-		answers: map[settings.ServiceName]*answer{},
+		http:    &http.Client{Transport: transport, CheckRedirect: rejectRedirects},
+		cache:   map[settings.ServiceName]*addressList{},
 	}
 }
 
@@ -103,7 +103,7 @@
 		if !isDialError(err) {
 			return response, err
 		}
-		client.forget(service)
+		client.expire(service)
 	}
 	return nil, errors.Wrapf(ErrNoInstance, "connect to %d instances", len(addresses))
 }
@@ -119,18 +119,18 @@
 	outgoing.URL.Host = address
 	if request.Method != http.MethodGet && request.Method != http.MethodHead {
 		outgoing.GetBody = nil
-		outgoing.Body = onceBody{reader: request.Body}
+		outgoing.Body = nonRewindableBody{reader: request.Body}
 	}
 	return client.http.Do(outgoing)
 }
 
-// onceBody is a body that can't be rewound, also when it is empty.
-type onceBody struct {
+// nonRewindableBody is a body that can't be rewound, also when it is empty.
+type nonRewindableBody struct {
 	reader io.ReadCloser
 }
 
 // Read implements io.Reader.
-func (onceBody onceBody) Read(buffer []byte) (int, error) {
+func (onceBody nonRewindableBody) Read(buffer []byte) (int, error) {
 	if onceBody.reader == nil {
 		return 0, io.EOF
 	}
@@ -138,7 +138,7 @@
 }
 
 // Close implements io.Closer.
-func (onceBody onceBody) Close() error {
+func (onceBody nonRewindableBody) Close() error {
 	if onceBody.reader == nil {
 		return nil
 	}
@@ -155,46 +155,46 @@
 // for, others go on with the old.
 func (client *Client) Addresses(ctx context.Context, service settings.ServiceName) ([]string, error) {
 	client.mutex.Lock()
-	kept := client.answers[service]
-	if kept != nil && (kept.asking || time.Now().Before(kept.until)) {
+	kept := client.cache[service]
+	if kept != nil && (kept.refreshing || time.Now().Before(kept.expires)) {
 		client.mutex.Unlock()
 		return kept.addresses, nil
 	}
 	candidates := client.options.Seeds
 	if kept != nil {
-		kept.asking = true
+		kept.refreshing = true
 		candidates = append(append([]string{}, kept.addresses...), candidates...)
 	}
 	client.mutex.Unlock()
-	fresh, err := client.ask(ctx, service, candidates)
+	fresh, err := client.fetchAddresses(ctx, service, candidates)
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if err == nil {
-		client.answers[service] = fresh
+		client.cache[service] = fresh
 		return fresh.addresses, nil
 	}
 	if kept != nil {
-		kept.asking = false
+		kept.refreshing = false
 		// An old answer beats none: instances serve callers that come by one.
 		return kept.addresses, nil
 	}
 	return nil, err
 }
 
-// forget makes the next call ask anew.
-func (client *Client) forget(service settings.ServiceName) {
+// expire makes the next call ask anew.
+func (client *Client) expire(service settings.ServiceName) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	if kept := client.answers[service]; kept != nil {
-		kept.until = time.Time{}
+	if kept := client.cache[service]; kept != nil {
+		kept.expires = time.Time{}
 	}
 }
 
-// ask asks the candidates in turn.
-func (client *Client) ask(ctx context.Context, service settings.ServiceName, candidates []string) (*answer, error) {
+// fetchAddresses asks the candidates in turn.
+func (client *Client) fetchAddresses(ctx context.Context, service settings.ServiceName, candidates []string) (*addressList, error) {
 	var last error
 	for _, candidate := range candidates {
-		fresh, err := client.askOne(ctx, service, candidate)
+		fresh, err := client.fetchAddressesFrom(ctx, service, candidate)
 		if err == nil {
 			return fresh, nil
 		}
@@ -203,8 +203,8 @@
 	return nil, errors.Wrapf(ErrNoInstance, "ask %d instances for addresses, the last: %v", len(candidates), last)
 }
 
-func (client *Client) askOne(ctx context.Context, service settings.ServiceName, candidate string) (*answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
+func (client *Client) fetchAddressesFrom(ctx context.Context, service settings.ServiceName, candidate string) (*addressList, error) {
+	ctx, cancel := context.WithTimeout(ctx, addressesTimeout.Duration())
 	defer cancel()
 	query := url.Values{"service": {string(service)}}
 	target := url.URL{Scheme: "http", Host: candidate, Path: addressesPath, RawQuery: query.Encode()}
@@ -217,31 +217,31 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	return readAnswer(candidate, response)
+	return parseAddresses(candidate, response)
 }
 
-func readAnswer(candidate string, response *http.Response) (*answer, error) {
-	text, err := io.ReadAll(io.LimitReader(response.Body, answerMost))
+func parseAddresses(candidate string, response *http.Response) (*addressList, error) {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
 		return nil, errors.Wrapf(err, "read the answer of %s", candidate)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.Newf("%s answered %d: %s", candidate, response.StatusCode, text)
 	}
-	var said struct {
+	var payload struct {
 		Addresses []struct {
 			Address string `json:"address"`
 		} `json:"addresses"`
 		Keep clock.Milliseconds `json:"keep"`
 	}
-	if err := json.Unmarshal(text, &said); err != nil {
+	if err := json.Unmarshal(text, &payload); err != nil {
 		return nil, errors.Wrapf(err, "answer of %s", candidate)
 	}
-	if len(said.Addresses) == 0 {
+	if len(payload.Addresses) == 0 {
 		return nil, errors.Newf("%s named no instance", candidate)
 	}
-	fresh := &answer{until: time.Now().Add(said.Keep.Duration())}
-	for _, entry := range said.Addresses {
+	fresh := &addressList{expires: time.Now().Add(payload.Keep.Duration())}
+	for _, entry := range payload.Addresses {
 		fresh.addresses = append(fresh.addresses, entry.Address)
 	}
 	return fresh, nil
--- a/pkg/jaywheelclient/client_test.go
+++ b/pkg/jaywheelclient/client_test.go
@@ -14,23 +14,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// instance is a stand-in of an entry instance that names addresses and counts what it is sent.
-type instance struct {
-	address string
-	asked   atomic.Int64
-	sent    atomic.Int64
-	server  *httptest.Server
+// fakeInstance is a stand-in of an entry fakeInstance that names addresses and counts what it is sent.
+type fakeInstance struct {
+	address        string
+	addressQueries atomic.Int64
+	requests       atomic.Int64
+	server         *httptest.Server
 }
 
-func startInstance(t *testing.T, keep string, named func() []string) *instance {
-	started := &instance{}
+func startFakeInstance(t *testing.T, keep string, named func() []string) *fakeInstance {
+	started := &fakeInstance{}
 	started.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != addressesPath {
-			started.sent.Add(1)
+			started.requests.Add(1)
 			_, _ = fmt.Fprintf(writer, "%s %s", request.Method, request.Host)
 			return
 		}
-		started.asked.Add(1)
+		started.addressQueries.Add(1)
 		var entries []string
 		for _, address := range named() {
 			entries = append(entries, fmt.Sprintf(`{"address": %q}`, address))
@@ -56,9 +56,9 @@
 	return string(text), nil
 }
 
-func TestAnswerIsKept(t *testing.T) {
-	var first *instance
-	first = startInstance(t, "1h", func() []string { return []string{first.address} })
+func TestAddressesAreCached(t *testing.T) {
+	var first *fakeInstance
+	first = startFakeInstance(t, "1h", func() []string { return []string{first.address} })
 	client := New(Options{Seeds: []string{"127.0.0.1:1", first.address}})
 	defer client.Close()
 	for range 10 {
@@ -66,31 +66,31 @@
 		require.NoError(t, err)
 		require.Equal(t, "GET slots.example", text)
 	}
-	require.EqualValues(t, 1, first.asked.Load(), "the answer is kept")
-	require.EqualValues(t, 10, first.sent.Load())
+	require.EqualValues(t, 1, first.addressQueries.Load(), "the answer is kept")
+	require.EqualValues(t, 10, first.requests.Load())
 }
 
-func TestLapsedAnswerIsAskedAnew(t *testing.T) {
-	var first *instance
-	first = startInstance(t, "0s", func() []string { return []string{first.address} })
+func TestExpiredAddressesAreFetchedAgain(t *testing.T) {
+	var first *fakeInstance
+	first = startFakeInstance(t, "0s", func() []string { return []string{first.address} })
 	client := New(Options{Seeds: []string{first.address}})
 	defer client.Close()
 	for range 3 {
 		_, err := do(t, client, http.MethodGet)
 		require.NoError(t, err)
 	}
-	require.EqualValues(t, 3, first.asked.Load())
+	require.EqualValues(t, 3, first.addressQueries.Load())
 }
 
 // An instance that the kept answer names has gone. No connection to it can be made, so the request goes to the next,
 // even a payment, and the answer is asked for anew.
-func TestGoneInstanceIsPassedOver(t *testing.T) {
+func TestUnreachableInstanceIsSkipped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	gone := listener.Addr().String()
 	listener.Close()
-	var living *instance
-	living = startInstance(t, "1h", func() []string { return []string{gone, living.address} })
+	var living *fakeInstance
+	living = startFakeInstance(t, "1h", func() []string { return []string{gone, living.address} })
 	client := New(Options{Seeds: []string{living.address}})
 	defer client.Close()
 	for range 20 {
@@ -98,7 +98,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "POST slots.example", text)
 	}
-	require.EqualValues(t, 20, living.sent.Load())
+	require.EqualValues(t, 20, living.requests.Load())
 	living.server.Close()
 	_, err = do(t, client, http.MethodPost)
 	require.Error(t, err)
@@ -108,7 +108,7 @@
 
 // The kept connection to an instance dies under a payment with a key. The standard client would send it again by itself;
 // the caller gets an error instead, and the payment has run once.
-func TestPaymentIsSentOnce(t *testing.T) {
+func TestPostIsSentOnce(t *testing.T) {
 	var posts atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -119,7 +119,7 @@
 			if err != nil {
 				return
 			}
-			go serveThenCut(connection, listener.Addr().String(), &posts)
+			go closeAfterPost(connection, listener.Addr().String(), &posts)
 		}
 	}()
 	client := New(Options{Seeds: []string{listener.Addr().String()}})
@@ -129,8 +129,8 @@
 	require.EqualValues(t, 1, posts.Load())
 }
 
-// serveThenCut answers what is asked of it and cuts the connection once it has read a payment.
-func serveThenCut(connection net.Conn, self string, posts *atomic.Int64) {
+// closeAfterPost answers what is asked of it and cuts the connection once it has read a payment.
+func closeAfterPost(connection net.Conn, self string, posts *atomic.Int64) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -27,13 +27,13 @@
 	checker.problems = append(checker.problems, Problem{File: checker.file, Path: path, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-func (checker *checker) positive(path string, length clock.Milliseconds) {
+func (checker *checker) requirePositive(path string, length clock.Milliseconds) {
 	if length <= 0 {
 		checker.add(path, "must be longer than nothing")
 	}
 }
 
-func (checker *checker) address(path, address string) {
+func (checker *checker) requireAddress(path, address string) {
 	addressPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		checker.add(path, "is no IP number with a port: %q", address)
@@ -70,8 +70,8 @@
 	if fleet.InstancesPerService > fleet.MaxInstances {
 		checker.add("fleet.instancesPerService", "%d is more than fleet.instancesMost, %d", fleet.InstancesPerService, fleet.MaxInstances)
 	}
-	checker.positive("fleet.answerKept", fleet.AddressTTL)
-	checker.positive("fleet.heartbeatEvery", fleet.HeartbeatInterval)
+	checker.requirePositive("fleet.answerKept", fleet.AddressTTL)
+	checker.requirePositive("fleet.heartbeatEvery", fleet.HeartbeatInterval)
 	if fleet.SuspectAfter < 3*fleet.HeartbeatInterval {
 		checker.add("fleet.suspectAfter", "%s is less than three heartbeats of %s; one lost datagram would look like a failure",
 			fleet.SuspectAfter, fleet.HeartbeatInterval)
@@ -102,9 +102,9 @@
 	if strings.HasPrefix(service.PathPrefix, ReservedPath) {
 		checker.add(join(path, "pathPrefix"), "%s is reserved", ReservedPath)
 	}
-	checker.positive(join(path, "queue.wait"), service.Queue.Wait)
-	checker.positive(join(path, "connections.connectTimeout"), service.Connections.ConnectTimeout)
-	checker.positive(join(path, "connections.silentMost"), service.Connections.AckTimeout)
+	checker.requirePositive(join(path, "queue.wait"), service.Queue.Wait)
+	checker.requirePositive(join(path, "connections.connectTimeout"), service.Connections.ConnectTimeout)
+	checker.requirePositive(join(path, "connections.silentMost"), service.Connections.AckTimeout)
 	if service.ColdStart.InitialPermits > service.SlotsPerTarget {
 		checker.add(join(path, "coldStart.places"), "%d is more than slotsPerTarget, %d", service.ColdStart.InitialPermits, service.SlotsPerTarget)
 	}
@@ -112,7 +112,7 @@
 		class := service.Classes[name]
 		class.check(checker, join(path, "classes."+string(name)), service.PathPrefix)
 	}
-	service.checkOverlap(checker, join(path, "classes"))
+	service.checkClassConflicts(checker, join(path, "classes"))
 	return checker.problems
 }
 
@@ -130,11 +130,11 @@
 			checker.add(fmt.Sprintf("%s.paths.%d", path, index), "%q does not lie below pathPrefix, %q", prefix, servicePrefix)
 		}
 	}
-	checker.positive(join(path, "timeout"), class.Timeout)
+	checker.requirePositive(join(path, "timeout"), class.Timeout)
 }
 
-// checkOverlap finds two classes that claim the same method below the same path, between which no rule decides.
-func (service *Service) checkOverlap(checker *checker, path string) {
+// checkClassConflicts finds two classes that claim the same method below the same path, between which no rule decides.
+func (service *Service) checkClassConflicts(checker *checker, path string) {
 	type claim struct{ method, prefix string }
 	claimed := map[claim]ClassName{}
 	for _, name := range sortedKeys(service.Classes) {
@@ -170,14 +170,14 @@
 
 func (process *Process) check(file string) []Problem {
 	checker := &checker{file: file}
-	checker.address("callerAddress", process.CallerAddress)
-	checker.address("peerAddress", process.PeerAddress)
-	checker.address("operatorAddress", process.OperatorAddress)
-	checker.address("platform.configurationAddress", process.Platform.ConfigurationAddress)
-	checker.address("platform.instancesAddress", process.Platform.InstancesAddress)
-	checker.positive("platform.timeout", process.Platform.Timeout)
-	checker.positive("callers.headerTimeout", process.Callers.HeaderTimeout)
-	checker.positive("callers.stallMost", process.Callers.MaxStall)
+	checker.requireAddress("callerAddress", process.CallerAddress)
+	checker.requireAddress("peerAddress", process.PeerAddress)
+	checker.requireAddress("operatorAddress", process.OperatorAddress)
+	checker.requireAddress("platform.configurationAddress", process.Platform.ConfigurationAddress)
+	checker.requireAddress("platform.instancesAddress", process.Platform.InstancesAddress)
+	checker.requirePositive("platform.timeout", process.Platform.Timeout)
+	checker.requirePositive("callers.headerTimeout", process.Callers.HeaderTimeout)
+	checker.requirePositive("callers.stallMost", process.Callers.MaxStall)
 	if _, known := process.Keys.Known[process.Keys.SealWith]; !known {
 		checker.add("keys.sealWith", "%q is not among keys.known", process.Keys.SealWith)
 	}
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// mostNesting bounds how deep a document may nest, so that a hostile one can't exhaust the stack.
-const mostNesting = 32
+// maxNesting bounds how deep a document may nest, so that a hostile one can't exhaust the stack.
+const maxNesting = 32
 
 // document is a JSON text together with the name that problems give it.
 type document struct {
@@ -51,15 +51,15 @@
 	problems []Problem
 }
 
-var errTooDeep = errors.Newf("nested deeper than %d levels", mostNesting)
+var errNestingTooDeep = errors.Newf("nested deeper than %d levels", maxNesting)
 
 func (scanner *keyScanner) add(path []string, reason string) {
 	scanner.problems = append(scanner.problems, Problem{File: scanner.name, Path: strings.Join(path, "."), Reason: reason})
 }
 
 func (scanner *keyScanner) value(path []string) error {
-	if len(path) > mostNesting {
-		return errTooDeep
+	if len(path) > maxNesting {
+		return errNestingTooDeep
 	}
 	token, err := scanner.decoder.Token()
 	if err != nil {
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -78,7 +78,7 @@
 	// A figure that is given stays as it is, 0 as well.
 	gateway := &Gateway{}
 	gateway.ApplyDefaults()
-	document.text, gateway.Warnings = relaxGateway(document.name, document.text)
+	document.text, gateway.Warnings = normalizeTextFields(document.name, document.text)
 	if _, err := decodePair(document, nil, gatewayDefinition, gateway); err != nil {
 		return nil, err
 	}
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	site.applyDefaults()
-	if err := invalid(locate(site.check(base.name), base, overlay)); err != nil {
+	if err := invalid(attributeToOverlay(site.check(base.name), base, overlay)); err != nil {
 		return nil, err
 	}
 	changes, err := changesBetween(base.text, merged)
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	process.ApplyDefaults()
-	return process, invalid(locate(process.check(base.name), base, overlay))
+	return process, invalid(attributeToOverlay(process.check(base.name), base, overlay))
 }
 
 // ParseSiteDocument reads a published site document, which holds no services. The key names it in problems.
@@ -108,15 +108,15 @@
 	if !json.Valid(merged) {
 		return nil, invalid(problems)
 	}
-	problems = append(problems, locate(checkShape(definition, base.name, merged), base, overlay)...)
+	problems = append(problems, attributeToOverlay(validateSchema(definition, base.name, merged), base, overlay)...)
 	if len(problems) > 0 {
 		return nil, invalid(problems)
 	}
-	return merged, invalid(locate(decode(base.name, merged, into), base, overlay))
+	return merged, invalid(attributeToOverlay(decode(base.name, merged, into), base, overlay))
 }
 
-// locate names the overlay in problems whose field the overlay set.
-func locate(problems []Problem, base document, overlay *document) []Problem {
+// attributeToOverlay names the overlay in problems whose field the overlay set.
+func attributeToOverlay(problems []Problem, base document, overlay *document) []Problem {
 	if overlay == nil {
 		return problems
 	}
--- a/pkg/settings/render.go
+++ b/pkg/settings/render.go
@@ -34,10 +34,10 @@
 
 // Documents splits a site into what is published: the site without its services, and each service.
 func (site *Site) Documents() ([]Document, error) {
-	bare := *site
-	bare.Services = nil
-	bare.ServiceNames = sortedKeys(site.Services)
-	siteDocument, err := newDocument(SiteKey, site.Revision, bare)
+	withoutServices := *site
+	withoutServices.Services = nil
+	withoutServices.ServiceNames = sortedKeys(site.Services)
+	siteDocument, err := newDocument(SiteKey, site.Revision, withoutServices)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	if err := invalid(problems); err != nil {
 		return nil, err
 	}
-	return writeAll(directory, changed)
+	return writeFiles(directory, changed)
 }
 
 func compareWithWritten(path string, document Document) (bool, *Problem, error) {
@@ -110,7 +110,7 @@
 	return true, &Problem{File: path, Path: "revision", Reason: reason}, nil
 }
 
-func writeAll(directory string, documents []Document) ([]string, error) {
+func writeFiles(directory string, documents []Document) ([]string, error) {
 	var keys []string
 	for _, document := range documents {
 		path := filepath.Join(directory, document.FileName())
--- a/pkg/settings/schema.go
+++ b/pkg/settings/schema.go
@@ -41,13 +41,13 @@
 // that starts checks one of them; on a third of a core, compiling all took 33 of the 41 ms until it listened. The schemas
 // are embedded and tested, so a failure to read them is a defect of the build.
 var definitions = map[string]func() *jsonschema.Schema{
-	siteDefinition:    compiled(siteDefinition, SiteSchema),
-	serviceDefinition: compiled(serviceDefinition, SiteSchema),
-	processDefinition: compiled(processDefinition, ProcessSchema),
-	gatewayDefinition: compiled(gatewayDefinition, GatewaySchema),
+	siteDefinition:    compileOnce(siteDefinition, SiteSchema),
+	serviceDefinition: compileOnce(serviceDefinition, SiteSchema),
+	processDefinition: compileOnce(processDefinition, ProcessSchema),
+	gatewayDefinition: compileOnce(gatewayDefinition, GatewaySchema),
 }
 
-func compiled(definition string, text []byte) func() *jsonschema.Schema {
+func compileOnce(definition string, text []byte) func() *jsonschema.Schema {
 	return sync.OnceValue(func() *jsonschema.Schema {
 		parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 		if err != nil {
@@ -62,8 +62,8 @@
 	})
 }
 
-// checkShape compares a document with a definition and reports every deviation at once.
-func checkShape(definition, name string, text []byte) []Problem {
+// validateSchema compares a document with a definition and reports every deviation at once.
+func validateSchema(definition, name string, text []byte) []Problem {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return []Problem{{File: name, Reason: err.Error()}}
@@ -73,16 +73,16 @@
 	if !isValidationError {
 		return nil
 	}
-	problems := leaves(name, validationError)
+	problems := leafProblems(name, validationError)
 	slices.SortFunc(problems, func(left, right Problem) int { return strings.Compare(left.Path, right.Path) })
 	return problems
 }
 
-func leaves(name string, validationError *jsonschema.ValidationError) []Problem {
+func leafProblems(name string, validationError *jsonschema.ValidationError) []Problem {
 	if len(validationError.Causes) > 0 {
 		var problems []Problem
 		for _, cause := range validationError.Causes {
-			problems = append(problems, leaves(name, cause)...)
+			problems = append(problems, leafProblems(name, cause)...)
 		}
 		return problems
 	}
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -160,7 +160,7 @@
 
 // An operator changes a service and forgets its revision. Instances would ignore the change in silence; rendering
 // refuses it instead, and writes nothing.
-func TestRenderWantsHigherRevisions(t *testing.T) {
+func TestRenderRequiresHigherRevisions(t *testing.T) {
 	directory := t.TempDir()
 	render := func(text string) ([]string, error) {
 		loaded, err := LoadSite(writeFile(t, "base.json", text), "")
--- a/pkg/settings/text_fields_test.go
+++ b/pkg/settings/text_fields_test.go
@@ -13,8 +13,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// loadFigures loads a file as the deployment template fills it in, with the figures given as text.
-func loadFigures(t *testing.T, cores string, bounds map[string]string) (*Gateway, error) {
+// loadTextFields loads a file as the deployment template fills it in, with the figures given as text.
+func loadTextFields(t *testing.T, cores string, bounds map[string]string) (*Gateway, error) {
 	lines := make([]string, 0, len(bounds))
 	for name, text := range bounds {
 		lines = append(lines, fmt.Sprintf("%q: %q", name, text))
@@ -28,12 +28,12 @@
 }
 
 // Guards against a fleet that does not start because a bound is a fraction, missing or out of range on a deployment.
-func TestFiguresOfAnyForm(t *testing.T) {
+func TestTextFieldsOfAnyForm(t *testing.T) {
 	cases := []struct {
 		name, field, text string
-		found             func(*Gateway) any
+		actual            func(*Gateway) any
 		expected          any
-		doubts            int
+		warnings          int
 	}{
 		{"a whole number", "retrySlack", "186", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 186, 0},
 		{"a fraction for a count", "retrySlack", "22.1428", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 22, 0},
@@ -44,10 +44,10 @@
 		{"below zero", "retrySlack", "-3", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
 		{"no retries beyond the share", "retrySlack", "0", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
 		{"a word with a unit", "leaveMost", "manys", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 1},
-		{"far too large", "retrySlack", "1e300", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, countMost, 0},
+		{"far too large", "retrySlack", "1e300", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, maxCount, 0},
 		{"no number", "retryShare", "NaN", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 0.2, 1},
 		{"a share above one", "retryShare", "7", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 1.0, 0},
-		{"no probes at all", "probesPerSecond", "0", func(gateway *Gateway) any { return gateway.Bounds.ProbesPerSecond }, aboveZero, 0},
+		{"no probes at all", "probesPerSecond", "0", func(gateway *Gateway) any { return gateway.Bounds.ProbesPerSecond }, minPositive, 0},
 		{"a unit without a figure", "leaveMost", "s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
 		{"an exponent with a unit", "leaveMost", "6e0s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
 		{"a fraction with a unit", "answerKeptMost", "2.5s", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 2500 * clock.Millisecond, 0},
@@ -57,17 +57,17 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			gateway, err := loadFigures(t, "0.16", map[string]string{testCase.field: testCase.text})
+			gateway, err := loadTextFields(t, "0.16", map[string]string{testCase.field: testCase.text})
 			require.NoError(t, err)
-			require.Equal(t, testCase.expected, testCase.found(gateway))
-			require.Len(t, gateway.Warnings, testCase.doubts)
+			require.Equal(t, testCase.expected, testCase.actual(gateway))
+			require.Len(t, gateway.Warnings, testCase.warnings)
 			require.InDelta(t, 0.16, gateway.Cores, 1e-9)
 		})
 	}
 }
 
 // Guards against any mixture of odd figures that keeps an instance from starting, or puts a bound out of its range.
-func TestDrawnFigures(t *testing.T) {
+func TestRandomTextFields(t *testing.T) {
 	forms := []string{
 		"", "s", "0", "1", "186", "186.0", "22.1428", "1.86e2", "1e300", "-1", "-1e300", "NaN", "Inf", "many", "true", "0x10", " 5 ", "5s", "2.5s", "null", "[]",
 	}
@@ -75,14 +75,14 @@
 	draw := func() string { return forms[random.IntN(len(forms))] }
 	for range 300 {
 		bounds := map[string]string{}
-		for _, figure := range gatewayFigures {
-			if figure.section == "bounds" && figure.kind != durationFigure {
+		for _, figure := range gatewayTextFields {
+			if figure.section == "bounds" && figure.kind != durationField {
 				bounds[figure.name] = draw()
 			} else if figure.section == "bounds" {
 				bounds[figure.name] = strings.TrimSuffix(draw(), "s") + "s"
 			}
 		}
-		gateway, err := loadFigures(t, draw(), bounds)
+		gateway, err := loadTextFields(t, draw(), bounds)
 		require.NoError(t, err, "%v", bounds)
 		require.Positive(t, gateway.Cores)
 		require.Positive(t, gateway.Bounds.ProbesPerSecond)
