--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock has the one notion of time that jaywheel uses: milliseconds on a monotonic clock.
+// Package clock provides the time types that jaywheel uses: milliseconds on a monotonic clock.
 //
-// Wall clocks of different instances disagree and jump, so no decision rests on them. A Moment is only ever compared
-// with another Moment of the same process.
+// Wall clocks of different instances disagree and jump, so no decision depends on them. A Moment is only compared with
+// another Moment of the same process.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //	...
 //	spent := c.Now().Since(start)     // Milliseconds
 //
-// Tests of pure code use NewManual, whose time moves only when told to. Tests of code that waits run inside a
-// testing/synctest bubble, where New follows the bubble's time.
+// Tests of code that does not wait use NewManual, whose time changes only by Advance. Tests of code that waits run inside
+// a testing/synctest bubble, where New uses the bubble's time.
 package clock
 
 import (
@@ -22,31 +22,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Milliseconds is a length of time. Fractions are kept: 0.15 is 150 microseconds.
+// Milliseconds is a duration in milliseconds, which may be a fraction: 0.15 is 150 microseconds.
 type Milliseconds float64
 
-// Common lengths.
+// Common durations.
 const (
 	Millisecond Milliseconds = 1
 	Second      Milliseconds = 1000
 	Minute      Milliseconds = 60 * Second
 )
 
-// ErrNegative is returned for a length of time below zero.
-var ErrNegative = errors.New("a length of time is never negative")
+// ErrNegative is returned for a negative duration.
+var ErrNegative = errors.New("a duration must not be negative")
 
-// Of converts a standard duration.
+// Of converts a standard duration to milliseconds.
 func Of(duration time.Duration) Milliseconds {
 	return Milliseconds(float64(duration) / float64(time.Millisecond))
 }
 
-// Duration converts to a standard duration, rounded down to a nanosecond.
+// Duration converts to a standard duration, truncated to whole nanoseconds.
 func (milliseconds Milliseconds) Duration() time.Duration {
 	return time.Duration(float64(milliseconds) * float64(time.Millisecond))
 }
 
-// String writes the length as settings do, for example "0.5ms", "250ms" or "1m30s". It never uses a unit below the
-// millisecond, which settings don't take.
+// String formats the duration as in settings, for example "0.5ms", "250ms" or "1m30s". It uses no unit below the
+// millisecond, because settings don't accept one.
 func (milliseconds Milliseconds) String() string {
 	if milliseconds < Second {
 		return strconv.FormatFloat(float64(milliseconds), 'f', -1, 64) + "ms"
@@ -59,75 +59,76 @@
 	return []byte(milliseconds.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It takes a number with its unit, such as "250ms"; a bare number
-// is refused because nobody can tell what it counts.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a number with its unit, such as "250ms"; a number without
+// a unit is rejected, because its unit would be ambiguous. For a negative duration the error is ErrNegative.
 func (milliseconds *Milliseconds) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
-		return errors.Wrapf(err, "length of time %s", strconv.Quote(string(text)))
+		return errors.Wrapf(err, "duration %s", strconv.Quote(string(text)))
 	}
 	if duration < 0 {
-		return errors.Wrapf(ErrNegative, "length of time %s", strconv.Quote(string(text)))
+		return errors.Wrapf(ErrNegative, "duration %s", strconv.Quote(string(text)))
 	}
 	*milliseconds = Of(duration)
 	return nil
 }
 
-// UnmarshalFlag reads the length from a command line, by the same rules.
+// UnmarshalFlag parses the duration in a command-line flag in the same way as UnmarshalText.
 func (milliseconds *Milliseconds) UnmarshalFlag(value string) error {
 	return milliseconds.UnmarshalText([]byte(value))
 }
 
-// Moment is a point on one process's monotonic clock, in milliseconds since that clock was made.
+// Moment is a point in time on the monotonic clock of one process, in milliseconds since the clock's origin.
 type Moment float64
 
-// Add returns the moment that lies the given length later.
+// Add returns the moment plus the given duration.
 func (moment Moment) Add(length Milliseconds) Moment {
 	return moment + Moment(length)
 }
 
-// Since returns the time from earlier to moment; it is negative when earlier is the later one.
+// Since returns the time from earlier to moment. It is negative if earlier is after moment.
 func (moment Moment) Since(earlier Moment) Milliseconds {
 	return Milliseconds(moment - earlier)
 }
 
-// Clock tells the time. Now is a field so that tests can put another source in its place.
+// Clock is a source of the current time. Now is a field so that tests can replace it.
 type Clock struct {
 	Now func() Moment
 }
 
-// New returns a clock that starts at zero and follows the process's monotonic time.
+// New returns a clock that starts at 0 and uses the monotonic time of the process.
 func New() *Clock {
 	origin := time.Now()
 	return &Clock{Now: func() Moment { return Moment(Of(time.Since(origin))) }}
 }
 
-// NewBootTime returns a clock that also counts the time for which the machine is suspended, which New's does not.
+// NewBootTime returns a clock that counts from the start of the machine and, unlike that of New, includes the time for
+// which the machine is suspended. Its source is CLOCK_BOOTTIME.
 func NewBootTime() *Clock {
 	return &Clock{Now: func() Moment {
 		var since unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &since); err != nil {
-			// Every kernel since 2.6.39 has this clock.
+			// All kernels since 2.6.39 have this clock.
 			panic(err)
 		}
 		return Moment(Of(time.Duration(since.Nano())))
 	}}
 }
 
-// Manual is a clock whose time stands still until Advance moves it. It is not safe for concurrent use.
+// Manual is a clock for tests whose time changes only by Advance. It is not safe for concurrent use.
 type Manual struct {
 	Clock
 	now Moment
 }
 
-// NewManual returns a clock that stands at zero.
+// NewManual returns a clock at time 0.
 func NewManual() *Manual {
 	manual := &Manual{}
 	manual.Now = func() Moment { return manual.now }
 	return manual
 }
 
-// Advance moves the clock forward.
+// Advance moves the clock forward by the given duration.
 func (manual *Manual) Advance(length Milliseconds) {
 	manual.now = manual.now.Add(length)
 }
--- a/pkg/jaywheelclient/client.go
+++ b/pkg/jaywheelclient/client.go
@@ -1,5 +1,5 @@
-// Package jaywheelclient is for callers of a jaywheel site: it asks which instances to use for a service, keeps the
-// answer as long as it may, and sends requests there.
+// Package jaywheelclient is the client library for callers of a jaywheel site. It queries an instance for the addresses
+// that serve a service, caches them for the time that the response allows, and sends requests to these addresses.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	response, err := client.Do("browsing", request)
 //	result, reason := outcome.FromHeader(response.Header)
 //
-// A request goes to another instance only when no connection to the first could be made, so that it can't have run.
-// What to do about an answer whose outcome is notRun or unknown is for the caller to decide: notRun may be sent again,
-// after the answer's Retry-After; unknown may be sent again only if running twice does no harm.
+// A request is sent to another instance only if no connection to the first could be opened, so that it can't have run.
+// The caller decides whether to retry a request: with outcome notRun it may be retried after the response's Retry-After;
+// with outcome unknown it may be retried only if it is idempotent.
 package jaywheelclient
 
 import (
@@ -29,24 +29,24 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// addressesPath is where an instance answers which instances to use.
+// addressesPath is the endpoint of an instance that lists the instances to use for a service.
 const addressesPath = settings.ReservedPath + "v1/addresses"
 
-// Bounds of what the client does by itself.
+// Limits of the client's own requests and connections.
 const (
 	addressesTimeout = 2 * clock.Second
 	connectTimeout   = 500 * clock.Millisecond
 	maxResponseSize  = 1 << 20
 )
 
-// ErrNoInstance says that no instance could be asked or connected to. The request did not run.
+// ErrNoInstance is returned when no instance could be queried for addresses or connected to. The request did not run.
 var ErrNoInstance = errors.New("no instance can be reached")
 
-// Options are what a Client is made from.
+// Options configures a Client.
 type Options struct {
-	// Seeds are addresses of instances to ask first, IP and port.
+	// Seeds lists the IP addresses and ports of instances to query for addresses at first.
 	Seeds []string
-	// MaxIdleConnections is the largest number of idle connections kept to one instance; 0 stands for 64.
+	// MaxIdleConnections is the largest number of idle connections to one instance; 0 means 64.
 	MaxIdleConnections int
 }
 
@@ -59,14 +59,14 @@
 	cache map[settings.ServiceName]*addressList
 }
 
-// addressList is what an instance said, and until when it holds.
+// addressList is a cached list of addresses and its expiry time.
 type addressList struct {
 	addresses  []string
 	expires    time.Time
 	refreshing bool
 }
 
-// New returns a client.
+// New returns a client with the given options. It opens no connection by itself.
 func New(options Options) *Client {
 	if options.MaxIdleConnections == 0 {
 		options.MaxIdleConnections = 64
@@ -85,13 +85,14 @@
 	}
 }
 
-// Close gives up idle connections.
+// Close closes idle connections.
 func (client *Client) Close() {
 	client.http.CloseIdleConnections()
 }
 
-// Do sends a request to a service. The URL's host names the service to the site; the connection goes to an instance
-// that the site named. The error is ErrNoInstance when the request did not run; after any other it may have.
+// Do sends a request to a service. The host of the URL selects the service within the site; the connection goes to an
+// instance from the service's address list. If the error is ErrNoInstance, the request did not run; after any other error
+// it may have run. The caller must close the body of the response.
 func (client *Client) Do(service settings.ServiceName, request *http.Request) (*http.Response, error) {
 	addresses, err := client.Addresses(request.Context(), service)
 	if err != nil {
@@ -108,8 +109,8 @@
 	return nil, errors.Wrapf(ErrNoInstance, "connect to %d instances", len(addresses))
 }
 
-// send sends the request to one instance. The standard library would send a request with an Idempotency-Key again by
-// itself when a kept connection dies; a body that it can't rewind keeps it from that.
+// send sends the request to one instance. The standard library retries a request with an Idempotency-Key by itself when a
+// reused connection fails; a body that it can't rewind prevents that.
 func (client *Client) send(address string, request *http.Request) (*http.Response, error) {
 	outgoing := request.Clone(request.Context())
 	if outgoing.Host == "" {
@@ -124,83 +125,84 @@
 	return client.http.Do(outgoing)
 }
 
-// nonRewindableBody is a body that can't be rewound, also when it is empty.
+// nonRewindableBody is a request body that can't be rewound, even if it is empty.
 type nonRewindableBody struct {
 	reader io.ReadCloser
 }
 
 // Read implements io.Reader.
-func (onceBody nonRewindableBody) Read(buffer []byte) (int, error) {
-	if onceBody.reader == nil {
+func (nonRewindableBody nonRewindableBody) Read(buffer []byte) (int, error) {
+	if nonRewindableBody.reader == nil {
 		return 0, io.EOF
 	}
-	return onceBody.reader.Read(buffer)
+	return nonRewindableBody.reader.Read(buffer)
 }
 
 // Close implements io.Closer.
-func (onceBody nonRewindableBody) Close() error {
-	if onceBody.reader == nil {
+func (nonRewindableBody nonRewindableBody) Close() error {
+	if nonRewindableBody.reader == nil {
 		return nil
 	}
-	return onceBody.reader.Close()
+	return nonRewindableBody.reader.Close()
 }
 
-// isDialError reports whether no connection was made.
+// isDialError reports whether err means that no connection was opened.
 func isDialError(err error) bool {
 	var operationError *net.OpError
 	return errors.As(err, &operationError) && operationError.Op == "dial"
 }
 
-// Addresses returns the instances to use for a service, from the answer kept or a new one. While a new one is asked
-// for, others go on with the old.
+// Addresses returns the IP addresses and ports of the instances to use for a service, from the cache or, if the cached list
+// has expired, from an instance. While one call refreshes the list, concurrent calls use the expired one. The error is
+// ErrNoInstance when there is no cached list and no instance can be queried.
 func (client *Client) Addresses(ctx context.Context, service settings.ServiceName) ([]string, error) {
 	client.mutex.Lock()
-	kept := client.cache[service]
-	if kept != nil && (kept.refreshing || time.Now().Before(kept.expires)) {
+	cached := client.cache[service]
+	if cached != nil && (cached.refreshing || time.Now().Before(cached.expires)) {
 		client.mutex.Unlock()
-		return kept.addresses, nil
+		return cached.addresses, nil
 	}
 	candidates := client.options.Seeds
-	if kept != nil {
-		kept.refreshing = true
-		candidates = append(append([]string{}, kept.addresses...), candidates...)
+	if cached != nil {
+		cached.refreshing = true
+		candidates = append(append([]string{}, cached.addresses...), candidates...)
 	}
 	client.mutex.Unlock()
-	fresh, err := client.fetchAddresses(ctx, service, candidates)
+	list, err := client.fetchAddresses(ctx, service, candidates)
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if err == nil {
-		client.cache[service] = fresh
-		return fresh.addresses, nil
+		client.cache[service] = list
+		return list.addresses, nil
 	}
-	if kept != nil {
-		kept.refreshing = false
-		// An old answer beats none: instances serve callers that come by one.
-		return kept.addresses, nil
+	if cached != nil {
+		cached.refreshing = false
+		// An expired list is better than none: instances serve callers that use one.
+		return cached.addresses, nil
 	}
 	return nil, err
 }
 
-// expire makes the next call ask anew.
+// expire makes the next call of Addresses refresh the list.
 func (client *Client) expire(service settings.ServiceName) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	if kept := client.cache[service]; kept != nil {
-		kept.expires = time.Time{}
+	if cached := client.cache[service]; cached != nil {
+		cached.expires = time.Time{}
 	}
 }
 
-// fetchAddresses asks the candidates in turn.
+// fetchAddresses queries the candidates in turn until one responds.
 func (client *Client) fetchAddresses(ctx context.Context, service settings.ServiceName, candidates []string) (*addressList, error) {
-	var last error
+	var lastErr error
 	for _, candidate := range candidates {
-		fresh, err := client.fetchAddressesFrom(ctx, service, candidate)
+		list, err := client.fetchAddressesFrom(ctx, service, candidate)
 		if err == nil {
-			return fresh, nil
+			return list, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, errors.Wrapf(ErrNoInstance, "ask %d instances for addresses, the last: %v", len(candidates), last)
+	return nil, errors.Wrapf(ErrNoInstance, "query %d instances for addresses, last error: %v", len(candidates), lastErr)
 }
 
 func (client *Client) fetchAddressesFrom(ctx context.Context, service settings.ServiceName, candidate string) (*addressList, error) {
@@ -223,10 +225,10 @@
 func parseAddresses(candidate string, response *http.Response) (*addressList, error) {
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return nil, errors.Wrapf(err, "read the answer of %s", candidate)
+		return nil, errors.Wrapf(err, "read the response of %s", candidate)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Newf("%s answered %d: %s", candidate, response.StatusCode, text)
+		return nil, errors.Newf("%s responded with status %d: %s", candidate, response.StatusCode, text)
 	}
 	var payload struct {
 		Addresses []struct {
@@ -235,14 +237,14 @@
 		Keep clock.Milliseconds `json:"keep"`
 	}
 	if err := json.Unmarshal(text, &payload); err != nil {
-		return nil, errors.Wrapf(err, "answer of %s", candidate)
+		return nil, errors.Wrapf(err, "parse the response of %s", candidate)
 	}
 	if len(payload.Addresses) == 0 {
-		return nil, errors.Newf("%s named no instance", candidate)
+		return nil, errors.Newf("the response of %s lists no instance", candidate)
 	}
-	fresh := &addressList{expires: time.Now().Add(payload.Keep.Duration())}
+	list := &addressList{expires: time.Now().Add(payload.Keep.Duration())}
 	for _, entry := range payload.Addresses {
-		fresh.addresses = append(fresh.addresses, entry.Address)
+		list.addresses = append(list.addresses, entry.Address)
 	}
-	return fresh, nil
+	return list, nil
 }
--- a/pkg/jaywheelclient/client_test.go
+++ b/pkg/jaywheelclient/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeInstance is a stand-in of an entry fakeInstance that names addresses and counts what it is sent.
+// fakeInstance is a fake entry instance that lists addresses and counts the address queries and requests that it receives.
 type fakeInstance struct {
 	address        string
 	addressQueries atomic.Int64
@@ -22,24 +22,24 @@
 	server         *httptest.Server
 }
 
-func startFakeInstance(t *testing.T, keep string, named func() []string) *fakeInstance {
-	started := &fakeInstance{}
-	started.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+func startFakeInstance(t *testing.T, keep string, addresses func() []string) *fakeInstance {
+	instance := &fakeInstance{}
+	instance.server = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != addressesPath {
-			started.requests.Add(1)
+			instance.requests.Add(1)
 			_, _ = fmt.Fprintf(writer, "%s %s", request.Method, request.Host)
 			return
 		}
-		started.addressQueries.Add(1)
+		instance.addressQueries.Add(1)
 		var entries []string
-		for _, address := range named() {
+		for _, address := range addresses() {
 			entries = append(entries, fmt.Sprintf(`{"address": %q}`, address))
 		}
 		_, _ = fmt.Fprintf(writer, `{"keep": %q, "addresses": [%s]}`, keep, strings.Join(entries, ","))
 	}))
-	t.Cleanup(started.server.Close)
-	started.address = started.server.Listener.Addr().String()
-	return started
+	t.Cleanup(instance.server.Close)
+	instance.address = instance.server.Listener.Addr().String()
+	return instance
 }
 
 func do(t *testing.T, client *Client, method string) (string, error) {
@@ -66,7 +66,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "GET slots.example", text)
 	}
-	require.EqualValues(t, 1, first.addressQueries.Load(), "the answer is kept")
+	require.EqualValues(t, 1, first.addressQueries.Load(), "the addresses are cached")
 	require.EqualValues(t, 10, first.requests.Load())
 }
 
@@ -82,32 +82,32 @@
 	require.EqualValues(t, 3, first.addressQueries.Load())
 }
 
-// An instance that the kept answer names has gone. No connection to it can be made, so the request goes to the next,
-// even a payment, and the answer is asked for anew.
+// Guards against requests that fail while a cached address is unreachable: no connection to it can be opened, so even a
+// payment must go to the next instance, and the addresses must be fetched again.
 func TestUnreachableInstanceIsSkipped(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := listener.Addr().String()
+	unreachable := listener.Addr().String()
 	listener.Close()
-	var living *fakeInstance
-	living = startFakeInstance(t, "1h", func() []string { return []string{gone, living.address} })
-	client := New(Options{Seeds: []string{living.address}})
+	var reachable *fakeInstance
+	reachable = startFakeInstance(t, "1h", func() []string { return []string{unreachable, reachable.address} })
+	client := New(Options{Seeds: []string{reachable.address}})
 	defer client.Close()
 	for range 20 {
 		text, err := do(t, client, http.MethodPost)
 		require.NoError(t, err)
 		require.Equal(t, "POST slots.example", text)
 	}
-	require.EqualValues(t, 20, living.requests.Load())
-	living.server.Close()
+	require.EqualValues(t, 20, reachable.requests.Load())
+	reachable.server.Close()
 	_, err = do(t, client, http.MethodPost)
 	require.Error(t, err)
-	_, err = New(Options{Seeds: []string{gone}}).Addresses(t.Context(), "browsing")
+	_, err = New(Options{Seeds: []string{unreachable}}).Addresses(t.Context(), "browsing")
 	require.ErrorIs(t, err, ErrNoInstance)
 }
 
-// The kept connection to an instance dies under a payment with a key. The standard client would send it again by itself;
-// the caller gets an error instead, and the payment has run once.
+// Guards against a payment with an Idempotency-Key that runs twice: when the reused connection fails, the standard client
+// would retry the payment by itself. The caller must get an error, and the payment must have been sent once.
 func TestPostIsSentOnce(t *testing.T) {
 	var posts atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,7 +129,7 @@
 	require.EqualValues(t, 1, posts.Load())
 }
 
-// closeAfterPost answers what is asked of it and cuts the connection once it has read a payment.
+// closeAfterPost responds to address queries and closes the connection once it has read a POST request.
 func closeAfterPost(connection net.Conn, self string, posts *atomic.Int64) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,12 +1,12 @@
-// Package outcome names the ways in which a request can end, and the HTTP headers that tell a caller which one it was.
+// Package outcome defines the outcomes of a request and the HTTP headers that report them to the caller.
 //
-// The set is closed: every request that reaches an instance ends as exactly one of Answered, NotRun and Unknown.
+// The set is closed: every request that reaches an instance ends with exactly one of Answered, NotRun and Unknown.
 //
 // # Usage
 //
 //	result, reason := outcome.FromHeader(response.Header)
 //	if result == outcome.NotRun {
-//		// It truly did not run: asking again, even for a payment, cannot run it twice.
+//		// The request did not run: a retry cannot run it twice, even if it is a payment.
 //	}
 package outcome
 
@@ -15,27 +15,27 @@
 	"strings"
 )
 
-// Outcome is one of the ways in which a request ends.
+// Outcome is the result of a request with regard to whether it ran.
 type Outcome string
 
 // The closed set of outcomes.
 const (
-	// Answered means that a backend server's whole answer was passed on, whatever its status.
+	// Answered means that the complete response of a backend server was forwarded, whatever its status.
 	Answered Outcome = "answered"
-	// NotRun means that no byte of the request left for a backend server, or that the server itself refused it before
-	// running it.
+	// NotRun means that no byte of the request was sent to a backend server, or that the backend server rejected the
+	// request before running it.
 	NotRun Outcome = "notRun"
-	// Unknown means that the request may have run. It is never sent again by jaywheel.
+	// Unknown means that the request may have run. Jaywheel never retries it.
 	Unknown Outcome = "unknown"
 )
 
-// All lists every outcome in a fixed order.
+// All lists all outcomes in a fixed order.
 var All = []Outcome{Answered, NotRun, Unknown}
 
-// Reason tells why a request ended as it did. It is a counter's name, so it never holds anything a caller sent.
+// Reason is the cause of an outcome. It is used as the name of a counter, so it never contains data that a caller sent.
 type Reason string
 
-// The reasons that jaywheel gives.
+// The reasons that jaywheel reports.
 const (
 	ReasonServer           Reason = "server"
 	ReasonBadRequest       Reason = "badRequest"
@@ -63,17 +63,18 @@
 	HeaderOutcome   = "Jaywheel-Outcome"
 	HeaderReason    = "Jaywheel-Reason"
 	HeaderRequestID = "Jaywheel-Request-Id"
-	// HeaderTimeout is the time left for the request, in whole milliseconds, counted from when its sender wrote it. It
-	// is relative so that clocks need not agree.
+	// HeaderTimeout is the remaining time of the request in whole milliseconds, counted from the moment at which its
+	// sender wrote it. It is relative so that clocks need not be synchronized.
 	HeaderTimeout = "Jaywheel-Timeout-Ms"
-	// HeaderAttempt counts how often the request has been sent before, 0 for the first time.
+	// HeaderAttempt is the number of earlier attempts of the request, 0 for the first attempt.
 	HeaderAttempt = "Jaywheel-Attempt"
-	// HeaderPrefix starts every header above; none of them is passed on from a backend server to a caller.
+	// HeaderPrefix is the prefix of all these headers. Headers with this prefix are never forwarded from a backend server
+	// to a caller.
 	HeaderPrefix = "Jaywheel-"
 )
 
-// FromHeader reads the outcome of an answer. An answer without one did not come whole from an instance and counts as
-// Unknown.
+// FromHeader returns the outcome and reason of a response. A response without a valid outcome did not come complete from
+// an instance, so its outcome is Unknown.
 func FromHeader(header http.Header) (Outcome, Reason) {
 	reason := Reason(header.Get(HeaderReason))
 	switch found := Outcome(header.Get(HeaderOutcome)); found {
@@ -84,7 +85,7 @@
 	}
 }
 
-// IsOwnHeader reports whether the canonical header name belongs to jaywheel.
+// IsOwnHeader reports whether the header belongs to jaywheel. The name must be in canonical form.
 func IsOwnHeader(name string) bool {
 	return strings.HasPrefix(name, HeaderPrefix)
 }
--- a/pkg/settings/bytes.go
+++ b/pkg/settings/bytes.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalidSize is returned for a size that can't be read.
+// ErrInvalidSize is returned for a size that can't be parsed.
 var ErrInvalidSize = errors.New(`a size is a whole number with B, KiB, MiB or GiB, such as "64KiB"`)
 
 var sizeUnits = []struct {
@@ -15,7 +15,7 @@
 	bytes  int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// MarshalText implements encoding.TextMarshaler, with the largest unit that leaves a whole number.
+// MarshalText implements encoding.TextMarshaler. It uses the largest unit in which the size is a whole number.
 func (bytes Bytes) MarshalText() ([]byte, error) {
 	for _, unit := range sizeUnits {
 		if int64(bytes)%unit.bytes == 0 {
@@ -25,7 +25,8 @@
 	return nil, ErrInvalidSize
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a whole number with its unit, such as "64KiB", and returns
+// ErrInvalidSize for any other text.
 func (bytes *Bytes) UnmarshalText(text []byte) error {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(string(text), unit.suffix)
--- a/pkg/settings/change.go
+++ b/pkg/settings/change.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Change is one field that an overlay set to something else.
+// Change is a field to which an overlay gives another value.
 type Change struct {
 	Path string          `json:"path"`
 	From json.RawMessage `json:"from"`
 	To   json.RawMessage `json:"to"`
 }
 
-// changesBetween lists the differences of two JSON objects, in the order of their paths.
+// changesBetween returns the differences between two JSON objects, sorted by path.
 func changesBetween(from, to []byte) ([]Change, error) {
 	var fromTree, toTree any
 	if err := errors.Join(json.Unmarshal(from, &fromTree), json.Unmarshal(to, &toTree)); err != nil {
@@ -58,7 +58,7 @@
 	return append(changes, Change{Path: path, From: fromText, To: toText}), nil
 }
 
-// join appends a field to a path.
+// join appends a field to a dot-separated path.
 func join(path, field string) string {
 	if path == "" {
 		return field
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -11,13 +11,13 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// ReservedPath is the path under which an instance answers for itself; no service may claim it.
+// ReservedPath is the path prefix of an instance's own endpoints; no service may use it.
 const ReservedPath = "/jaywheel/"
 
-// keyBytes is the length of a key that seals datagrams.
+// keyBytes is the length of a key that encrypts datagrams, in bytes.
 const keyBytes = 32
 
-// checker collects problems of one file.
+// checker collects the problems of one file.
 type checker struct {
 	file     string
 	problems []Problem
@@ -29,27 +29,27 @@
 
 func (checker *checker) requirePositive(path string, length clock.Milliseconds) {
 	if length <= 0 {
-		checker.add(path, "must be longer than nothing")
+		checker.add(path, "must be longer than 0")
 	}
 }
 
 func (checker *checker) requireAddress(path, address string) {
 	addressPort, err := netip.ParseAddrPort(address)
 	if err != nil {
-		checker.add(path, "is no IP number with a port: %q", address)
+		checker.add(path, "is not an IP address with a port: %q", address)
 		return
 	}
 	if addressPort.Addr().Zone() != "" {
-		checker.add(path, "must carry no zone: %q", address)
+		checker.add(path, "must not have a zone: %q", address)
 	}
 }
 
-// sortedKeys makes the order of problems the same in every run.
+// sortedKeys returns the keys in sorted order, so that problems have the same order in every run.
 func sortedKeys[K ~string, V any](entries map[K]V) []K {
 	return slices.Sorted(maps.Keys(entries))
 }
 
-// check finds everything that the shape alone can't tell, in the site and all its services.
+// check validates what the JSON Schema can't express, for the site and all its services.
 func (site *Site) check(file string) []Problem {
 	problems := site.checkSite(file)
 	if len(site.ServiceNames) > 0 {
@@ -82,7 +82,8 @@
 	return checker.problems
 }
 
-// CheckAgainst finds what does not fit between a service and the site it belongs to.
+// CheckAgainst returns the conflicts between the service and the site that it belongs to. The problems carry file, and
+// path as the prefix of the field.
 func (service *Service) CheckAgainst(site *Site, file, path string) []Problem {
 	checker := &checker{file: file}
 	if service.ConnectionsPerTarget < site.Fleet.MaxInstances {
@@ -96,7 +97,7 @@
 	checker := &checker{file: file}
 	for index, host := range service.Hosts {
 		if host == "" || strings.ContainsAny(host, ":/ ") || host != strings.ToLower(host) {
-			checker.add(join(path, fmt.Sprintf("hosts.%d", index)), "is no host name in lower case without a port: %q", host)
+			checker.add(join(path, fmt.Sprintf("hosts.%d", index)), "is not a host name in lower case without a port: %q", host)
 		}
 	}
 	if strings.HasPrefix(service.PathPrefix, ReservedPath) {
@@ -119,21 +120,21 @@
 func (class *Class) check(checker *checker, path, servicePrefix string) {
 	for index, method := range class.Methods {
 		if method == "" || method != strings.ToUpper(method) {
-			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "is no HTTP method in capitals: %q", method)
+			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "is not an HTTP method in upper case: %q", method)
 		}
 		if method == "CONNECT" {
-			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "CONNECT opens tunnels, which are not offered")
+			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "CONNECT is not supported, because it opens a tunnel")
 		}
 	}
 	for index, prefix := range class.Paths {
 		if !strings.HasPrefix(prefix, servicePrefix) {
-			checker.add(fmt.Sprintf("%s.paths.%d", path, index), "%q does not lie below pathPrefix, %q", prefix, servicePrefix)
+			checker.add(fmt.Sprintf("%s.paths.%d", path, index), "%q is not below pathPrefix, %q", prefix, servicePrefix)
 		}
 	}
 	checker.requirePositive(join(path, "timeout"), class.Timeout)
 }
 
-// checkClassConflicts finds two classes that claim the same method below the same path, between which no rule decides.
+// checkClassConflicts finds classes with the same method and path prefix, for which the class of a request is ambiguous.
 func (service *Service) checkClassConflicts(checker *checker, path string) {
 	type claim struct{ method, prefix string }
 	claimed := map[claim]ClassName{}
@@ -142,7 +143,7 @@
 			for _, prefix := range service.Classes[name].Paths {
 				other, taken := claimed[claim{method, prefix}]
 				if taken && other != name {
-					checker.add(join(path, string(name)), "claims %s %s, as %s does", method, prefix, other)
+					checker.add(join(path, string(name)), "%s %s is already used by class %s", method, prefix, other)
 				}
 				claimed[claim{method, prefix}] = name
 			}
@@ -150,7 +151,8 @@
 	}
 }
 
-// CheckRouteConflicts finds two services that claim the same host and path, between which no rule decides.
+// CheckRouteConflicts returns a problem for each host and path prefix that two services have in common, for which the
+// service of a request is ambiguous. The problems carry file.
 func CheckRouteConflicts(services map[ServiceName]Service, file string) []Problem {
 	type claim struct{ host, prefix string }
 	checker := &checker{file: file}
@@ -160,7 +162,7 @@
 		for _, host := range service.Hosts {
 			other, taken := claimed[claim{host, service.PathPrefix}]
 			if taken {
-				checker.add("services."+string(name)+".hosts", "claims %s%s, as %s does", host, service.PathPrefix, other)
+				checker.add("services."+string(name)+".hosts", "%s%s is already used by service %s", host, service.PathPrefix, other)
 			}
 			claimed[claim{host, service.PathPrefix}] = name
 		}
--- a/pkg/settings/defaults.go
+++ b/pkg/settings/defaults.go
@@ -2,7 +2,7 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// setDefault gives field a value when the file left it out.
+// setDefault sets field to value if it has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var unset T
 	if *field == unset {
@@ -51,7 +51,8 @@
 	setDefault(&class.MaxBodySize, 1<<20)
 }
 
-// ApplyDefaults fills in what a process built in code left out; loading a file does so by itself.
+// ApplyDefaults sets the fields that have their zero value to their defaults, for a Process that is built in code.
+// LoadProcess calls it by itself.
 func (process *Process) ApplyDefaults() {
 	setDefault(&process.Platform.Timeout, clock.Second)
 	setDefault(&process.Platform.WatchTimeout, 10*clock.Second)
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxNesting bounds how deep a document may nest, so that a hostile one can't exhaust the stack.
+// maxNesting limits the nesting depth of a document, so that a malicious document can't exhaust the stack.
 const maxNesting = 32
 
-// document is a JSON text together with the name that problems give it.
+// document is a JSON text and the file name that its problems carry.
 type document struct {
 	name string
 	text []byte
 }
 
-// checkText finds what a decoder would pass over in silence: keys that stand twice, of which the last would win, and
-// text after the end.
+// checkText finds what the JSON decoder ignores: duplicate keys, of which the last one wins, and text after the end of
+// the document.
 func (document document) checkText() []Problem {
 	decoder := json.NewDecoder(bytes.NewReader(document.text))
 	decoder.UseNumber()
@@ -34,7 +34,7 @@
 	return scanner.problems
 }
 
-// describeSyntax names the line of a syntax error.
+// describeSyntax returns the text of a syntax error with its line number.
 func describeSyntax(text []byte, err error) string {
 	var syntaxError *json.SyntaxError
 	if !errors.As(err, &syntaxError) {
@@ -85,7 +85,7 @@
 		key, _ := token.(string)
 		keyPath := append(path[:len(path):len(path)], key)
 		if seen[key] {
-			scanner.add(keyPath, "the key stands twice")
+			scanner.add(keyPath, "the key is duplicated")
 		}
 		seen[key] = true
 		if err := scanner.value(keyPath); err != nil {
@@ -106,7 +106,7 @@
 	return err
 }
 
-// has reports whether the document sets the field at path, or something that contains it.
+// has reports whether the document sets the field at path, or sets one of its parents to a value that is not an object.
 func (document document) has(path string) bool {
 	var node any
 	if json.Unmarshal(document.text, &node) != nil {
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -8,74 +8,78 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Gateway is what one instance's own file says where a platform's store tells everything else: who it is, where it
-// listens, and where it finds the store and the first other instances.
+// Gateway is the settings of one instance on a platform whose store holds all other configuration: its name, the
+// addresses on which it listens, and the addresses of the store and of seed instances.
 type Gateway struct {
-	// Instance is the instance's name.
+	// Instance is the name of the instance.
 	Instance InstanceName `json:"instance" jsonschema:"minLength=1"`
-	// DataCentre is where it runs, Region the region that holds it.
+	// DataCentre is the data centre in which the instance runs, Region the region of the data centre.
 	DataCentre DataCentreName `json:"dataCentre" jsonschema:"minLength=1"`
 	Region     RegionName     `json:"region,omitempty"`
-	// CallerAddress is where callers connect, ReadyAddress where the platform asks whether the instance is ready,
-	// DirectoryAddress where callers ask which instances to use; all are IP and port.
+	// CallerAddress accepts requests of callers, ReadyAddress serves the platform's readiness check, and DirectoryAddress
+	// serves the list of instances that callers use. Each is an IP address and port.
 	CallerAddress    string `json:"callerAddress" jsonschema:"minLength=1"`
 	ReadyAddress     string `json:"readyAddress" jsonschema:"minLength=1"`
 	DirectoryAddress string `json:"directoryAddress" jsonschema:"minLength=1"`
-	// PeerAddress is where other instances reach this one, IP and port: datagrams and requests on the same port number.
-	// The port is the same at all instances.
+	// PeerAddress is the IP address and port for datagrams (UDP) and requests (TCP) of other instances. All instances use
+	// the same port number.
 	PeerAddress string `json:"peerAddress" jsonschema:"minLength=1"`
-	// OperatorAddress is where metrics, status and explain are read, IP and port.
+	// OperatorAddress is the IP address and port that serves metrics, status and explain.
 	OperatorAddress string `json:"operatorAddress" jsonschema:"minLength=1"`
-	// Seeds are addresses of other instances; only their IP numbers count. They may be stale.
+	// Seeds lists addresses of other instances; their ports are ignored. The addresses may be stale.
 	Seeds []string `json:"seeds"`
-	// StoreAddress is the platform's store, IP and port.
+	// StoreAddress is the IP address and port of the platform's store.
 	StoreAddress string `json:"storeAddress" jsonschema:"minLength=1"`
-	// Cores is the instance's share of a processor. Of several instances the larger ones serve first.
+	// Cores is the number of processor cores of the instance, which may be a fraction. Instances with more cores are
+	// preferred for serving.
 	Cores float64 `json:"cores,omitempty" jsonschema:"exclusiveMinimum=0,default=1"`
 	// MaxDescriptors is the number of file descriptors that the process may use.
 	MaxDescriptors int `json:"descriptorsMost,omitempty" jsonschema:"minimum=64,default=4096"`
-	// FleetBootstrap says that all instances start for the first time, so that no caller waits for this one yet.
+	// FleetBootstrap states that all instances of the fleet start for the first time, so that no caller waits for this
+	// instance yet.
 	FleetBootstrap bool `json:"fleetStarts,omitempty"`
-	// Bounds are agreed with the platform.
+	// Bounds holds the limits agreed with the platform.
 	Bounds GatewayBounds `json:"bounds,omitzero"`
-	// LogLevel is the least level of log lines.
+	// LogLevel is the minimum level of log lines.
 	LogLevel string `json:"logLevel,omitempty" jsonschema:"enum=debug,enum=info,enum=warn,enum=error,default=info"`
-	// Warnings say which figures were not understood, and what stands in for them.
+	// Warnings lists the fields that were not understood and have their default value instead.
 	Warnings []Problem `json:"-"`
 }
 
 // GatewayBounds are the limits agreed with the platform.
 type GatewayBounds struct {
-	// DrainTimeout is how long after the signal to leave the process may still run.
+	// DrainTimeout is how long the process may run after the signal to drain.
 	DrainTimeout clock.Milliseconds `json:"leaveMost,omitempty" jsonschema:"default=6s"`
-	// MaxAddressTTL is the longest time that callers keep an address answer.
+	// MaxAddressTTL is the longest time for which callers cache an addresses response.
 	MaxAddressTTL clock.Milliseconds `json:"answerKeptMost,omitempty" jsonschema:"default=5s"`
-	// RetryShare is the share of a service's requests that may be sent again, over the whole fleet.
+	// RetryShare is the fraction of a service's requests that may be retried, over the whole fleet.
 	RetryShare float64 `json:"retryShare,omitempty" jsonschema:"minimum=0,maximum=1,default=0.2"`
-	// RetrySlack is the number of requests of a service that may be sent again beyond the share, over the whole fleet and in
-	// any span of the length agreed with the platform.
+	// RetrySlack is the number of requests of a service that may be retried in addition to RetryShare, over the whole fleet
+	// and in any window of the length agreed with the platform.
 	RetrySlack int `json:"retrySlack,omitempty" jsonschema:"minimum=0,default=40"`
-	// ProbesPerSecond is how often one target may be probed, over the whole fleet.
+	// ProbesPerSecond is how often one target may be probed by all instances of the fleet together.
 	ProbesPerSecond float64 `json:"probesPerSecond,omitempty" jsonschema:"exclusiveMinimum=0,default=60"`
-	// QuotaWindow is the span in which a team's requests are counted against its rate limit.
+	// QuotaWindow is the length of the window in which a team's requests are counted against its rate limit.
 	QuotaWindow clock.Milliseconds `json:"quotaWindow,omitempty" jsonschema:"default=5s"`
-	// QuotaOver is the part of its limit by which a team may exceed it in such a span, QuotaSlack the number of requests by which it may
-	// do so besides, both over the whole fleet.
+	// QuotaOver is the fraction of its limit by which a team may exceed the limit within a window, QuotaSlack the number of
+	// requests in addition to that, both over the whole fleet.
 	QuotaOver  float64 `json:"quotaOver,omitempty" jsonschema:"minimum=0,maximum=10,default=0.25"`
 	QuotaSlack float64 `json:"quotaSlack,omitempty" jsonschema:"minimum=0,default=20"`
-	// FailClosed says that requests that need an API key are refused, as not run, once nothing has been heard of the store for RevokeWithin:
-	// a key may have been revoked meanwhile. Otherwise the last configuration stays in force.
+	// FailClosed states that requests that require an API key are rejected, with outcome notRun, once the instance has had no
+	// contact with the store, neither directly nor through other instances, for RevokeWithin, since the key may have been
+	// revoked in the meantime. Without FailClosed the last configuration stays in force.
 	FailClosed   bool               `json:"failClosed,omitempty"`
 	RevokeWithin clock.Milliseconds `json:"revokeWithin,omitempty" jsonschema:"default=5s"`
 }
 
-// LoadGateway reads the file.
+// LoadGateway loads and validates the settings file at path. For invalid settings IsErrInvalid reports true of the
+// error; any other error means that the file could not be read.
 func LoadGateway(path string) (*Gateway, error) {
 	document, err := readDocument(path)
 	if err != nil {
 		return nil, err
 	}
-	// A figure that is given stays as it is, 0 as well.
+	// The defaults are set before decoding, so that an explicit 0 in the file is kept.
 	gateway := &Gateway{}
 	gateway.ApplyDefaults()
 	document.text, gateway.Warnings = normalizeTextFields(document.name, document.text)
@@ -85,7 +89,7 @@
 	return gateway, invalid(gateway.check(document.name))
 }
 
-// ApplyDefaults fills in what was left out.
+// ApplyDefaults sets the fields that have their zero value to their defaults.
 func (gateway *Gateway) ApplyDefaults() {
 	setDefault(&gateway.Cores, 1)
 	setDefault(&gateway.MaxDescriptors, 4096)
@@ -116,18 +120,18 @@
 	}
 	for _, entry := range addresses {
 		if _, err := netip.ParseAddrPort(entry.address); err != nil {
-			problems = append(problems, Problem{File: file, Path: entry.path, Reason: "not an IP number and port: " + strconv.Quote(entry.address)})
+			problems = append(problems, Problem{File: file, Path: entry.path, Reason: "not an IP address and port: " + strconv.Quote(entry.address)})
 		}
 	}
 	return problems
 }
 
-// PeerPort is the port number at which every instance is reached by the others.
+// PeerPort returns the port number that all instances use for messages of their peers.
 func (gateway *Gateway) PeerPort() uint16 {
 	return netip.MustParseAddrPort(gateway.PeerAddress).Port()
 }
 
-// SeedAddresses are the seeds as peers' addresses.
+// SeedAddresses returns the addresses of the seeds with the peer port in place of their own.
 func (gateway *Gateway) SeedAddresses() []netip.AddrPort {
 	addresses := make([]netip.AddrPort, 0, len(gateway.Seeds))
 	for _, seed := range gateway.Seeds {
@@ -137,8 +141,8 @@
 	return addresses
 }
 
-// SameIdentity reports whether other says the same of who this instance is and where it listens, which can't change while
-// it runs.
+// SameIdentity reports whether other has the same name, data centre and listening addresses, which can't change while the
+// process runs.
 func (gateway *Gateway) SameIdentity(other *Gateway) bool {
 	identity := func(of *Gateway) string {
 		return strings.Join([]string{
--- a/pkg/settings/gateway_test.go
+++ b/pkg/settings/gateway_test.go
@@ -13,13 +13,13 @@
 "directoryAddress":"10.0.0.1:82","peerAddress":"10.0.0.1:7000","operatorAddress":"10.0.0.1:83","seeds":["10.0.0.2:83"],
 "storeAddress":"10.9.0.1:80"}`
 
-// A wrong file is refused with the field at fault; nothing starts on half of it.
+// Guards against starting with invalid settings: the error must name the invalid field.
 func TestLoadGateway(t *testing.T) {
 	cases := []struct {
 		name, from, to, problem string
 	}{
-		{"right", "", "", ""},
-		{"name for a number", "10.9.0.1:80", "store:80", "storeAddress"},
+		{"valid", "", "", ""},
+		{"host name for an IP address", "10.9.0.1:80", "store:80", "storeAddress"},
 		{"seed without a port", "10.0.0.2:83", "10.0.0.2", "seeds.0"},
 		{"unknown field", `"seeds"`, `"sedes":1,"seeds"`, "sedes"},
 		{"empty name", `"entry-1"`, `""`, "instance"},
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -8,16 +8,17 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Loaded is a site's settings together with how they came about.
+// Loaded is a site's settings and the changes that its overlay makes.
 type Loaded struct {
 	// Site is the effective result, with defaults filled in.
 	Site *Site
-	// Changes are the fields that the overlay set to something else than the base.
+	// Changes lists the fields to which the overlay gives another value than the base file.
 	Changes []Change
 }
 
-// LoadSite reads a base file and an overlay; overlayPath may be empty. The error carries every problem, each with the
-// file that holds the field.
+// LoadSite loads and validates a base file and an overlay; overlayPath may be empty. For invalid settings IsErrInvalid
+// reports true of the error, which carries every problem with the file that contains the field; any other error means
+// that a file could not be read.
 func LoadSite(basePath, overlayPath string) (*Loaded, error) {
 	base, overlay, err := readPair(basePath, overlayPath)
 	if err != nil {
@@ -36,7 +37,8 @@
 	return &Loaded{Site: site, Changes: changes}, err
 }
 
-// LoadProcess reads an instance's own file and an overlay; overlayPath may be empty.
+// LoadProcess loads and validates an instance's own file and an overlay; overlayPath may be empty. Its errors are those
+// of LoadSite.
 func LoadProcess(basePath, overlayPath string) (*Process, error) {
 	base, overlay, err := readPair(basePath, overlayPath)
 	if err != nil {
@@ -50,21 +52,22 @@
 	return process, invalid(attributeToOverlay(process.check(base.name), base, overlay))
 }
 
-// ParseSiteDocument reads a published site document, which holds no services. The key names it in problems.
+// ParseSiteDocument parses and validates a published site document, which contains no services. Problems carry key as
+// their file. IsErrInvalid reports true of its errors.
 func ParseSiteDocument(key string, text []byte) (*Site, error) {
 	site := &Site{}
 	if _, err := decodePair(document{name: key, text: text}, nil, siteDefinition, site); err != nil {
 		return nil, err
 	}
 	if len(site.Services) > 0 {
-		return nil, invalid([]Problem{{File: key, Path: "services", Reason: "services have documents of their own"}})
+		return nil, invalid([]Problem{{File: key, Path: "services", Reason: "services must be published in their own documents"}})
 	}
 	site.applyDefaults()
 	return site, invalid(site.checkSite(key))
 }
 
-// ParseServiceDocument reads a published service document. The key names it in problems. Whether it fits the site is
-// for Service.CheckAgainst to say.
+// ParseServiceDocument parses and validates a published service document. Problems carry key as their file.
+// IsErrInvalid reports true of its errors. Service.CheckAgainst compares the service with its site.
 func ParseServiceDocument(key string, text []byte) (*Service, error) {
 	service := &Service{}
 	if _, err := decodePair(document{name: key, text: text}, nil, serviceDefinition, service); err != nil {
@@ -91,7 +94,8 @@
 	return document{name: path, text: text}, nil
 }
 
-// decodePair merges, checks the shape and decodes. It returns the merged text.
+// decodePair merges base and overlay, validates the result against the JSON Schema and decodes it. It returns the merged
+// text.
 func decodePair(base document, overlay *document, definition string, into any) ([]byte, error) {
 	problems := base.checkText()
 	if overlay != nil {
@@ -115,7 +119,7 @@
 	return merged, invalid(attributeToOverlay(decode(base.name, merged, into), base, overlay))
 }
 
-// attributeToOverlay names the overlay in problems whose field the overlay set.
+// attributeToOverlay sets the file of problems to the overlay if the overlay sets the field.
 func attributeToOverlay(problems []Problem, base document, overlay *document) []Problem {
 	if overlay == nil {
 		return problems
--- a/pkg/settings/package.go
+++ b/pkg/settings/package.go
@@ -1,11 +1,11 @@
-// Package settings reads, checks and renders everything that operators write.
+// Package settings loads, validates and renders the configuration that operators write.
 //
-// A site is one base file and a small overlay, joined by a JSON merge patch (RFC 7396); the result is published as one
-// small document for the site and one for each service, each with a revision of its own. An instance's own file, which
-// says who it is and where it listens, is read the same way.
+// A site's settings are a base file and a small overlay, combined as a JSON merge patch (RFC 7396). The result is
+// published as one small document for the site and one for each service, each with its own revision. An instance's own
+// file, which holds its name and the addresses on which it listens, is loaded in the same way.
 //
-// Every problem is found at once and names its file and field: text that is no JSON, keys that stand twice, text after
-// the end, unknown fields, wrong units, impossible values, and names of what is not there.
+// All problems are reported together, each with its file and field: invalid JSON, duplicate keys, text after the end of
+// the document, unknown fields, wrong units, impossible values, and references to names that are not defined.
 //
 // # Usage
 //
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -7,17 +7,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Problem is one thing wrong in a file.
+// Problem is an error in one field of a settings file or document.
 type Problem struct {
-	// File is the file, or the document's key at the configuration service.
+	// File is the path of the file, or the key of the document in the configuration service.
 	File string `json:"file"`
-	// Path is the field, such as "services.fees.queue.wait"; it is empty for the file as a whole.
+	// Path is the field, such as "services.fees.queue.wait"; it is empty if the problem concerns the whole file.
 	Path string `json:"path"`
-	// Reason says what is wrong with it.
+	// Reason describes the error.
 	Reason string `json:"reason"`
 }
 
-// String writes the problem on one line.
+// String returns the problem on one line: file, path and reason.
 func (problem Problem) String() string {
 	if problem.Path == "" {
 		return fmt.Sprintf("%s: %s", problem.File, problem.Reason)
@@ -25,12 +25,12 @@
 	return fmt.Sprintf("%s: %s: %s", problem.File, problem.Path, problem.Reason)
 }
 
-// InvalidError carries every problem of a set of settings.
+// InvalidError is returned for invalid settings and carries all their problems.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error implements error, with one problem a line.
+// Error implements error, with one problem per line.
 func (invalidError *InvalidError) Error() string {
 	lines := make([]string, 0, len(invalidError.Problems))
 	for _, problem := range invalidError.Problems {
@@ -39,13 +39,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// IsErrInvalid reports whether err says that settings are wrong, as opposed to unreadable.
+// IsErrInvalid reports whether err is an InvalidError, as opposed to, for example, a failure to read a file.
 func IsErrInvalid(err error) bool {
 	var invalidError *InvalidError
 	return errors.As(err, &invalidError)
 }
 
-// ProblemsOf returns the problems that err carries, or none.
+// ProblemsOf returns the problems that err carries, or nil if it is not an InvalidError.
 func ProblemsOf(err error) []Problem {
 	var invalidError *InvalidError
 	if errors.As(err, &invalidError) {
--- a/pkg/settings/render.go
+++ b/pkg/settings/render.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Keys of the documents at the configuration service.
+// Keys of the documents in the configuration service.
 const (
 	SiteKey          = "site"
 	ServiceKeyPrefix = "service/"
@@ -20,19 +20,19 @@
 	return ServiceKeyPrefix + string(name)
 }
 
-// Document is one text to publish.
+// Document is a settings document to publish in the configuration service.
 type Document struct {
 	Key      string
 	Revision Revision
 	Text     []byte
 }
 
-// FileName is the name under which render writes the document.
+// FileName returns the path, relative to the output directory, to which WriteDocuments writes the document.
 func (document Document) FileName() string {
 	return filepath.FromSlash(document.Key) + ".json"
 }
 
-// Documents splits a site into what is published: the site without its services, and each service.
+// Documents returns the documents to publish: the site without its services, and one document for each service.
 func (site *Site) Documents() ([]Document, error) {
 	withoutServices := *site
 	withoutServices.Services = nil
@@ -61,9 +61,9 @@
 	return Document{Key: key, Revision: revision, Text: append(text, '\n')}, nil
 }
 
-// WriteDocuments writes documents below directory and returns the keys that changed. It writes nothing when a document
-// changed while its revision did not rise above the one written before: instances never apply a revision that is not
-// higher, so such a change would be in force nowhere and nobody would be told.
+// WriteDocuments writes the changed documents below directory and returns their keys. If a document changed and its
+// revision is not higher than the revision written before, it writes nothing and returns an InvalidError: instances apply
+// only higher revisions, so they would ignore such a change without a message.
 func WriteDocuments(directory string, documents []Document) ([]string, error) {
 	var changed []Document
 	var problems []Problem
@@ -92,7 +92,7 @@
 		return true, nil, nil
 	}
 	if err != nil {
-		return false, nil, errors.Wrap(err, "compare with what was rendered before")
+		return false, nil, errors.Wrap(err, "compare with the rendered documents")
 	}
 	if bytes.Equal(written, document.Text) {
 		return false, nil, nil
@@ -101,12 +101,12 @@
 		Revision Revision `json:"revision"`
 	}
 	if err := json.Unmarshal(written, &before); err != nil {
-		return false, nil, errors.Wrapf(err, "read %s, rendered before", path)
+		return false, nil, errors.Wrapf(err, "parse rendered document %s", path)
 	}
 	if document.Revision > before.Revision {
 		return true, nil, nil
 	}
-	reason := "the document changed, so its revision must be higher than the one rendered before"
+	reason := "the document changed, so its revision must be higher than in the rendered document"
 	return true, &Problem{File: path, Path: "revision", Reason: reason}, nil
 }
 
--- a/pkg/settings/schema.go
+++ b/pkg/settings/schema.go
@@ -14,22 +14,23 @@
 	"golang.org/x/text/message"
 )
 
-// SiteSchema is the JSON Schema of a site's settings, for editors; a test keeps it equal to the Go types.
+// SiteSchema is the JSON Schema of a site's settings, which editors can use as well. A test keeps it equal to the Go types.
 //
 //go:embed site.schema.json
 var SiteSchema []byte
 
-// ProcessSchema is the JSON Schema of an instance's own settings.
+// ProcessSchema is the JSON Schema of an instance's own settings, the type Process.
 //
 //go:embed process.schema.json
 var ProcessSchema []byte
 
-// GatewaySchema is the JSON Schema of an instance's own settings where a platform's store tells the rest.
+// GatewaySchema is the JSON Schema of an instance's own settings on a platform whose store holds all other configuration,
+// the type Gateway.
 //
 //go:embed gateway.schema.json
 var GatewaySchema []byte
 
-// The definitions within the schemas against which documents are checked.
+// Definitions in the schemas against which documents are validated.
 const (
 	siteDefinition    = "site.schema.json#/$defs/Site"
 	serviceDefinition = "site.schema.json#/$defs/Service"
@@ -37,9 +38,9 @@
 	gatewayDefinition = "gateway.schema.json#/$defs/Gateway"
 )
 
-// definitions are the schemas' parts against which documents are checked, each compiled when it is first needed. An instance
-// that starts checks one of them; on a third of a core, compiling all took 33 of the 41 ms until it listened. The schemas
-// are embedded and tested, so a failure to read them is a defect of the build.
+// definitions holds the definitions against which documents are validated, each compiled on first use. An instance uses
+// only one of them at its start; on a third of a core, compiling all of them took 33 of the 41 ms until it listened. The
+// schemas are embedded and tested, so a failure to compile them is a defect of the build.
 var definitions = map[string]func() *jsonschema.Schema{
 	siteDefinition:    compileOnce(siteDefinition, SiteSchema),
 	serviceDefinition: compileOnce(serviceDefinition, SiteSchema),
@@ -62,7 +63,7 @@
 	})
 }
 
-// validateSchema compares a document with a definition and reports every deviation at once.
+// validateSchema validates a document against a definition and returns all problems, sorted by path.
 func validateSchema(definition, name string, text []byte) []Problem {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -98,12 +99,12 @@
 	problems := make([]Problem, 0, len(fields))
 	for _, field := range fields {
 		path := strings.Join(append(location[:len(location):len(location)], field), ".")
-		problems = append(problems, Problem{File: name, Path: path, Reason: "no such field"})
+		problems = append(problems, Problem{File: name, Path: path, Reason: "unknown field"})
 	}
 	return problems
 }
 
-// decode reads a document whose shape has been checked.
+// decode unmarshals a document that has been validated against its schema.
 func decode(name string, text []byte, into any) []Problem {
 	if err := json.Unmarshal(text, into); err != nil {
 		return []Problem{{File: name, Reason: err.Error()}}
--- a/pkg/settings/schema_test.go
+++ b/pkg/settings/schema_test.go
@@ -13,9 +13,9 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-var update = flag.Bool("update", false, "write the schemas anew from the Go types")
+var update = flag.Bool("update", false, "regenerate the schemas from the Go types")
 
-// reflectSchema derives a schema from a Go type.
+// reflectSchema generates the schema of a Go type.
 func reflectSchema(t *testing.T, value any) []byte {
 	reflector := &jsonschema.Reflector{
 		Mapper: func(goType reflect.Type) *jsonschema.Schema {
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -29,37 +29,38 @@
 	return path
 }
 
-// Each wrong file is refused with its name, the field and the reason, and all that is wrong is told at once.
+// Guards against invalid settings that are accepted, and against errors without the file, the field and the reason. All
+// problems of a file must be reported together.
 func TestLoadSiteRefuses(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		problems       []string
 	}{
-		{"unknown field", `"tenant"`, `"colour": 1, "tenant"`, []string{"base.json: colour: no such field"}},
+		{"unknown field", `"tenant"`, `"colour": 1, "tenant"`, []string{"base.json: colour: unknown field"}},
 		{"missing field", `"tenant": "rodopa",`, ``, []string{"missing property 'tenant'"}},
 		{"bare number for a time", `"2s"`, `2`, []string{"base.json: services.browsing.classes.list.timeout: got number, want string"}},
 		{"time in an unknown unit", `"2s"`, `"2 fortnights"`, []string{"classes.list.timeout: '2 fortnights' does not match pattern"}},
-		{"time of nothing", `"2s"`, `"0s"`, []string{"classes.list.timeout: must be longer than nothing"}},
-		{"key that stands twice", `"revision": 1, "tenant"`, `"revision": 1, "revision": 2, "tenant"`, []string{"base.json: revision: the key stands twice"}},
-		{"nested key that stands twice", `"hosts"`, `"slotsPerTarget": 1, "hosts"`, []string{"base.json: services.browsing.slotsPerTarget: the key stands twice"}},
+		{"time of zero", `"2s"`, `"0s"`, []string{"classes.list.timeout: must be longer than 0"}},
+		{"duplicate key", `"revision": 1, "tenant"`, `"revision": 1, "revision": 2, "tenant"`, []string{"base.json: revision: the key is duplicated"}},
+		{"nested duplicate key", `"hosts"`, `"slotsPerTarget": 1, "hosts"`, []string{"base.json: services.browsing.slotsPerTarget: the key is duplicated"}},
 		{"syntax", `"tenant": "rodopa",`, `"tenant" "rodopa",`, []string{"base.json: line 2: "}},
-		{"state that there is not", `"state": "in"`, `"state": "away"`, []string{"dataCentres.sofia-1.state: value must be one of 'in', 'out'"}},
+		{"unknown state", `"state": "in"`, `"state": "away"`, []string{"dataCentres.sofia-1.state: value must be one of 'in', 'out'"}},
 		{"every data centre out", `"state": "in"`, `"state": "out"`, []string{"dataCentres: every data centre is out"}},
 		{"too few connections", `"connectionsPerTarget": 250`, `"connectionsPerTarget": 5`, []string{"connectionsPerTarget: 5 does not give each of fleet.instancesMost, 17"}},
 		{"reserved path", `"slotsPerTarget"`, `"pathPrefix": "/jaywheel/x", "slotsPerTarget"`, []string{"pathPrefix: /jaywheel/ is reserved"}},
-		{"host with a port", `slots.example`, `slots.example:80`, []string{"hosts.0: is no host name"}},
-		{"method in small letters", `"GET"`, `"get"`, []string{"methods.0: is no HTTP method in capitals"}},
-		{"path of its own, which is fine", `"idempotent"`, `"paths": ["/b"], "idempotent"`, nil},
+		{"host with a port", `slots.example`, `slots.example:80`, []string{"hosts.0: is not a host name"}},
+		{"method in lower case", `"GET"`, `"get"`, []string{"methods.0: is not an HTTP method in upper case"}},
+		{"valid path of a class", `"idempotent"`, `"paths": ["/b"], "idempotent"`, nil},
 		{"cold start above the slots", `"slotsPerTarget"`, `"coldStart": {"places": 7}, "slotsPerTarget"`, []string{"coldStart.places: 7 is more than slotsPerTarget, 6"}},
 		{
 			"suspicion after one lost datagram", `"instancesMost": 17`, `"instancesMost": 17, "suspectAfter": "800ms"`,
 			[]string{"fleet.suspectAfter: 800ms is less than three heartbeats"},
 		},
-		{"more per service than there are", `"instancesMost": 17`, `"instancesMost": 2`, []string{"fleet.instancesPerService: 3 is more than fleet.instancesMost, 2"}},
+		{"more instances per service than in the fleet", `"instancesMost": 17`, `"instancesMost": 2`, []string{"fleet.instancesPerService: 3 is more than fleet.instancesMost, 2"}},
 		{"size in an unknown unit", `"idempotent"`, `"bodyMost": "1MB", "idempotent"`, []string{"bodyMost: '1MB' does not match pattern"}},
-		{"size beyond all bounds", `"idempotent"`, `"bodyMost": "99999999999GiB", "idempotent"`, []string{"a size is a whole number"}},
-		{"three things at once", `"revision": 1, "tenant": "rodopa"`, `"revision": 0, "tenant": "", "more": 1`, []string{
-			"base.json: revision: minimum: got 0, want 1", "base.json: tenant: ", "base.json: more: no such field",
+		{"size out of range", `"idempotent"`, `"bodyMost": "99999999999GiB", "idempotent"`, []string{"a size is a whole number"}},
+		{"three problems at once", `"revision": 1, "tenant": "rodopa"`, `"revision": 0, "tenant": "", "more": 1`, []string{
+			"base.json: revision: minimum: got 0, want 1", "base.json: tenant: ", "base.json: more: unknown field",
 		}},
 	}
 	for _, testCase := range cases {
@@ -75,7 +76,7 @@
 			for _, problem := range testCase.problems {
 				require.ErrorContains(t, err, problem)
 			}
-			require.ErrorContains(t, err, path, "the file is named")
+			require.ErrorContains(t, err, path, "the error names the file")
 		})
 	}
 }
@@ -106,15 +107,15 @@
 	require.False(t, IsErrInvalid(err))
 }
 
-// Two claims between which no rule decides are refused, in one service and between two.
+// Guards against ambiguous routes: the same method and path in two classes, or the same host and path in two services.
 func TestOverlaps(t *testing.T) {
 	second := `"services": {"other": {"revision": 1, "hosts": ["slots.example"], "slotsPerTarget": 1, "connectionsPerTarget": 100,
 		"classes": {"a": {"methods": ["GET"], "idempotent": true, "priority": 0, "timeout": "1s"},
 		"b": {"methods": ["GET"], "idempotent": true, "priority": 0, "timeout": "1s"}}},`
 	path := writeFile(t, "base.json", strings.Replace(validSite, `"services": {`, second, 1))
 	_, err := LoadSite(path, "")
-	require.ErrorContains(t, err, "services.other.classes.b: claims GET /, as a does")
-	require.ErrorContains(t, err, "services.other.hosts: claims slots.example/, as browsing does")
+	require.ErrorContains(t, err, "services.other.classes.b: GET / is already used by class a")
+	require.ErrorContains(t, err, "services.other.hosts: slots.example/ is already used by service browsing")
 }
 
 func TestExamples(t *testing.T) {
@@ -144,7 +145,7 @@
 	text, err := os.ReadFile("../../examples/instance.json")
 	require.NoError(t, err)
 	cases := []struct{ name, from, to, problem string }{
-		{"host name for an address", "127.0.0.1:8080", "localhost:8080", "callerAddress: is no IP number with a port"},
+		{"host name for an address", "127.0.0.1:8080", "localhost:8080", "callerAddress: is not an IP address with a port"},
 		{"unknown key", `"sealWith": "example-2026-12"`, `"sealWith": "other"`, `keys.sealWith: "other" is not among keys.known`},
 		{"short key", "000102", "", "keys.known.example-2026-12: is not 32 bytes"},
 		{"unknown level", `"instance"`, `"logLevel": "loud", "instance"`, "logLevel: value must be one of"},
@@ -158,8 +159,8 @@
 	}
 }
 
-// An operator changes a service and forgets its revision. Instances would ignore the change in silence; rendering
-// refuses it instead, and writes nothing.
+// Guards against a changed service document without a higher revision, which instances would ignore without a message:
+// rendering must reject it and write nothing.
 func TestRenderRequiresHigherRevisions(t *testing.T) {
 	directory := t.TempDir()
 	render := func(text string) ([]string, error) {
@@ -208,6 +209,6 @@
 		again, err := newDocument("service/x", service.Revision, service)
 		require.NoError(t, err)
 		_, err = ParseServiceDocument("service/x", again.Text)
-		require.NoError(t, err, "what was accepted once is accepted again after rendering")
+		require.NoError(t, err, "an accepted document is accepted again after rendering")
 	})
 }
--- a/pkg/settings/text_fields.go
+++ b/pkg/settings/text_fields.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fieldKind is how a figure is written in a settings file.
+// fieldKind is the type of a field in a settings file.
 type fieldKind int
 
 const (
@@ -18,15 +18,15 @@
 	booleanField
 )
 
-// textField is a field that a deployment template fills in as text. The text may be empty, or in a form that the field does not have: the
-// platform decides whether a bound is a whole number.
+// textField is a field that a deployment template may fill in as text. The text may be empty or have another format than
+// the field, since the platform decides, for example, whether a bound is a whole number.
 type textField struct {
 	section, name    string
 	kind             fieldKind
 	minimum, maximum float64
 }
 
-// Bounds of what a platform may fill in. A figure beyond them is taken as the bound itself.
+// Limits of the values that a platform may fill in. A value outside them is clamped.
 const (
 	maxCores       = 1024
 	maxDescriptors = 1 << 24
@@ -35,11 +35,11 @@
 	maxRatio       = 10
 	maxProbes      = 1e4
 	maxSeconds     = 3600
-	// minPositive is the least value of a figure that must not be 0.
+	// minPositive is the minimum of fields that must be greater than 0.
 	minPositive = 1e-3
 )
 
-// gatewayTextFields are the fields of a Gateway that may be given as text.
+// gatewayTextFields lists the fields of a Gateway that may be given as text.
 var gatewayTextFields = []textField{
 	{"", "cores", numberField, minPositive, maxCores},
 	{"", "descriptorsMost", integerField, 64, maxDescriptors},
@@ -56,9 +56,10 @@
 	{"bounds", "revokeWithin", durationField, minPositive, maxSeconds},
 }
 
-// normalizeTextFields gives figures that stand in the file as text the form that their fields have. One that is empty or not understood is
-// left out, so that its default holds: an instance that does not start for the form of a number serves nobody. Figures that are no text
-// are left to the schema. The problems tell what was not understood.
+// normalizeTextFields converts fields that the file contains as text to the type that the schema requires. A field that is
+// empty or not understood is removed, so that its default applies: an instance that refuses to start because of the format
+// of a number would serve no caller. Fields that are not text are left unchanged for the schema to validate. The returned
+// problems list the fields that were not understood.
 func normalizeTextFields(file string, text []byte) ([]byte, []Problem) {
 	var root map[string]any
 	if json.Unmarshal(text, &root) != nil {
@@ -66,25 +67,25 @@
 	}
 	var warnings []Problem
 	changed := false
-	for _, figure := range gatewayTextFields {
+	for _, textField := range gatewayTextFields {
 		section := root
-		if figure.section != "" {
-			section, _ = root[figure.section].(map[string]any)
+		if textField.section != "" {
+			section, _ = root[textField.section].(map[string]any)
 		}
-		given, isText := section[figure.name].(string)
+		given, isText := section[textField.name].(string)
 		if !isText {
 			continue
 		}
-		value, understood := figure.parse(given)
+		value, understood := textField.parse(given)
 		switch {
 		case understood:
-			section[figure.name] = value
+			section[textField.name] = value
 		default:
-			delete(section, figure.name)
+			delete(section, textField.name)
 		}
 		changed = true
-		if !understood && !figure.empty(given) {
-			warnings = append(warnings, Problem{File: file, Path: figure.path(), Reason: "not understood, the default holds: " + strconv.Quote(given)})
+		if !understood && !textField.empty(given) {
+			warnings = append(warnings, Problem{File: file, Path: textField.path(), Reason: "not understood, using the default: " + strconv.Quote(given)})
 		}
 	}
 	if !changed {
@@ -97,26 +98,26 @@
 	return normalized, warnings
 }
 
-func (figure textField) path() string {
-	return strings.TrimPrefix(figure.section+"."+figure.name, ".")
+func (textField textField) path() string {
+	return strings.TrimPrefix(textField.section+"."+textField.name, ".")
 }
 
-// empty reports whether a template left nothing but a unit.
-func (figure textField) empty(given string) bool {
+// empty reports whether the template filled in no value, or only the unit.
+func (textField textField) empty(given string) bool {
 	given = strings.TrimSpace(given)
-	return given == "" || figure.kind == durationField && given == "s"
+	return given == "" || textField.kind == durationField && given == "s"
 }
 
-// parse returns the value in the field's own form.
-func (figure textField) parse(given string) (any, bool) {
+// parse converts the text to the type of the field and reports whether it was understood.
+func (textField textField) parse(given string) (any, bool) {
 	given = strings.TrimSpace(given)
-	if figure.kind == booleanField {
+	if textField.kind == booleanField {
 		value, err := strconv.ParseBool(strings.ToLower(given))
 		return value, err == nil
 	}
-	if figure.kind == durationField {
+	if textField.kind == durationField {
 		if length, err := time.ParseDuration(given); err == nil && length > 0 || !strings.HasSuffix(given, "s") {
-			// Any other unit is for the schema to judge.
+			// The schema validates texts with another unit.
 			return given, true
 		}
 		given = strings.TrimSuffix(given, "s")
@@ -125,11 +126,11 @@
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 		return nil, false
 	}
-	if figure.kind == durationField && number <= 0 {
+	if textField.kind == durationField && number <= 0 {
 		return nil, false
 	}
-	number = min(max(number, figure.minimum), figure.maximum)
-	switch figure.kind {
+	number = min(max(number, textField.minimum), textField.maximum)
+	switch textField.kind {
 	case integerField:
 		return math.Floor(number), true
 	case durationField:
--- a/pkg/settings/text_fields_test.go
+++ b/pkg/settings/text_fields_test.go
@@ -13,7 +13,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// loadTextFields loads a file as the deployment template fills it in, with the figures given as text.
+// loadTextFields loads a file that the deployment template filled in, with cores and bounds as text.
 func loadTextFields(t *testing.T, cores string, bounds map[string]string) (*Gateway, error) {
 	lines := make([]string, 0, len(bounds))
 	for name, text := range bounds {
@@ -27,7 +27,7 @@
 	return LoadGateway(path)
 }
 
-// Guards against a fleet that does not start because a bound is a fraction, missing or out of range on a deployment.
+// Guards against a fleet that does not start because a deployment fills in a bound as a fraction, not at all, or out of range.
 func TestTextFieldsOfAnyForm(t *testing.T) {
 	cases := []struct {
 		name, field, text string
@@ -39,19 +39,19 @@
 		{"a fraction for a count", "retrySlack", "22.1428", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 22, 0},
 		{"a whole number with a point", "retrySlack", "186.0", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 186, 0},
 		{"an exponent", "retrySlack", "1.86e2", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 186, 0},
-		{"nothing", "retrySlack", "", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 40, 0},
+		{"empty", "retrySlack", "", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 40, 0},
 		{"a word", "retrySlack", "many", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 40, 1},
 		{"below zero", "retrySlack", "-3", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
 		{"no retries beyond the share", "retrySlack", "0", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, 0, 0},
 		{"a word with a unit", "leaveMost", "manys", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 1},
 		{"far too large", "retrySlack", "1e300", func(gateway *Gateway) any { return gateway.Bounds.RetrySlack }, maxCount, 0},
-		{"no number", "retryShare", "NaN", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 0.2, 1},
+		{"not a number", "retryShare", "NaN", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 0.2, 1},
 		{"a share above one", "retryShare", "7", func(gateway *Gateway) any { return gateway.Bounds.RetryShare }, 1.0, 0},
-		{"no probes at all", "probesPerSecond", "0", func(gateway *Gateway) any { return gateway.Bounds.ProbesPerSecond }, minPositive, 0},
-		{"a unit without a figure", "leaveMost", "s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
+		{"no probes", "probesPerSecond", "0", func(gateway *Gateway) any { return gateway.Bounds.ProbesPerSecond }, minPositive, 0},
+		{"a unit without a number", "leaveMost", "s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
 		{"an exponent with a unit", "leaveMost", "6e0s", func(gateway *Gateway) any { return gateway.Bounds.DrainTimeout }, 6 * clock.Second, 0},
 		{"a fraction with a unit", "answerKeptMost", "2.5s", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 2500 * clock.Millisecond, 0},
-		{"a length of another unit", "answerKeptMost", "250ms", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 250 * clock.Millisecond, 0},
+		{"a duration in another unit", "answerKeptMost", "250ms", func(gateway *Gateway) any { return gateway.Bounds.MaxAddressTTL }, 250 * clock.Millisecond, 0},
 		{"true", "failClosed", "true", func(gateway *Gateway) any { return gateway.Bounds.FailClosed }, true, 0},
 		{"neither true nor false", "failClosed", "perhaps", func(gateway *Gateway) any { return gateway.Bounds.FailClosed }, false, 1},
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// Guards against any mixture of odd figures that keeps an instance from starting, or puts a bound out of its range.
+// Guards against a combination of malformed values that keeps an instance from starting or puts a bound out of its range.
 func TestRandomTextFields(t *testing.T) {
 	forms := []string{
 		"", "s", "0", "1", "186", "186.0", "22.1428", "1.86e2", "1e300", "-1", "-1e300", "NaN", "Inf", "many", "true", "0x10", " 5 ", "5s", "2.5s", "null", "[]",
@@ -75,11 +75,11 @@
 	draw := func() string { return forms[random.IntN(len(forms))] }
 	for range 300 {
 		bounds := map[string]string{}
-		for _, figure := range gatewayTextFields {
-			if figure.section == "bounds" && figure.kind != durationField {
-				bounds[figure.name] = draw()
-			} else if figure.section == "bounds" {
-				bounds[figure.name] = strings.TrimSuffix(draw(), "s") + "s"
+		for _, textField := range gatewayTextFields {
+			if textField.section == "bounds" && textField.kind != durationField {
+				bounds[textField.name] = draw()
+			} else if textField.section == "bounds" {
+				bounds[textField.name] = strings.TrimSuffix(draw(), "s") + "s"
 			}
 		}
 		gateway, err := loadTextFields(t, draw(), bounds)
