--- a/cmd/addresses.go
+++ b/cmd/addresses.go
@@ -11,13 +11,13 @@
 	"github.com/jaywheel/jaywheel/internal/caller"
 )
 
-const addressesLong = `Asks an instance which instances callers of a service should use, as callers do, and prints the answer with
-the time for which it may be kept.`
+const addressesLong = `Queries an instance, as callers do, for the addresses that callers of a service should use. Prints the addresses
+and the time for which they may be cached.`
 
 type addressesCommand struct {
 	Instance string `long:"instance" value-name:"IP:PORT" required:"yes" description:"Caller address of any instance"`
 	Service  string `long:"service" value-name:"NAME" required:"yes" description:"Service"`
-	JSON     bool   `long:"json" description:"Print the answer as it came"`
+	JSON     bool   `long:"json" description:"Print the response unchanged"`
 	streams  streams
 }
 
@@ -32,13 +32,13 @@
 		fmt.Fprintf(out, "%s", text)
 		return nil
 	}
-	var answer caller.Addresses
-	if err := json.Unmarshal(text, &answer); err != nil {
-		return errors.Wrapf(err, "answer of instance %s", addressesCommand.Instance)
+	var addresses caller.Addresses
+	if err := json.Unmarshal(text, &addresses); err != nil {
+		return errors.Wrapf(err, "parse the response of instance %s", addressesCommand.Instance)
 	}
-	fmt.Fprintf(out, "service %s, settings revision %d, keep for %s\n", answer.Service, answer.Revision, answer.TTL)
+	fmt.Fprintf(out, "service %s, settings revision %d, keep for %s\n", addresses.Service, addresses.Revision, addresses.TTL)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, entry := range answer.Addresses {
+	for _, entry := range addresses.Addresses {
 		fmt.Fprintf(table, "%s\t%s\t%s\n", entry.Address, entry.Instance, entry.DataCentre)
 	}
 	return table.Flush()
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-const checkLong = `Checks a site's settings: the base file, the overlay, and what the two give together. Prints what the
-overlay changed and the effective result, defaults included. Every problem is reported at once, one a line, with its
-file and field; the exit code is then 3.`
+const checkLong = `Checks a site's settings: the base file, the overlay, and the result of merging them. Prints the fields that the
+overlay changed and the effective result with defaults. All problems are reported together, one per line, with file and
+field; the exit code is then 3.`
 
 type checkCommand struct {
 	siteFlags
--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -22,15 +22,15 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const compareLong = `Compares policies on one service of an example site: real instances and stand-ins of backend servers in this
-process, each policy with a site of its own, all with the same seeds, taking turns. A policy is NAME@K: K instances serve the
-service, out of --instances. "leastTaken@1" is one queue with full knowledge of every slot, the upper baseline. Noisy
-neighbours make each backend server ten times slower for 50 to 500 ms, 3% of the time.`
+const compareLong = `Compares policies on one service of an example site with real instances and fake backend servers in this process.
+Each policy has its own site with the same seeds, and the policies take turns. A policy is NAME@K: K of the --instances serve
+the service. "leastTaken@1" is a single queue that knows the state of every slot, the upper baseline. Noisy neighbours make each
+backend server ten times slower for 50 to 500 ms, 3% of the time.`
 
-// serviceSigma is the spread of the logarithm of service times.
+// serviceSigma is the standard deviation of the logarithm of service times.
 const serviceSigma = 0.5
 
-// Noise of neighbours in a comparison.
+// Slowdowns by noisy neighbours: the fraction of time, and the factor by which service times grow.
 const (
 	noiseShare  = 0.03
 	noiseFactor = 10
@@ -51,9 +51,9 @@
 	streams     streams
 }
 
-var errPolicy = errors.New("a policy is NAME@K, with a name that there is and K at least 1")
+var errPolicy = errors.New("a policy is NAME@K, where NAME is a known policy and K at least 1")
 
-// comparedPolicy is a policy and the number of instances that serve the service.
+// comparedPolicy is a policy with the number of instances that serve the service.
 type comparedPolicy struct {
 	text    string
 	policy  service.Policy
@@ -108,7 +108,8 @@
 	}
 }
 
-// prepareExperiment starts a site for each policy.
+// prepareExperiment starts a site for each policy and returns the experiment and the sites. The caller must close the
+// sites, also after an error.
 func (compareCommand *compareCommand) prepareExperiment(
 	ctx context.Context, example *settings.Site, policies []comparedPolicy,
 ) (load.Experiment, []*sitetest.Site, error) {
@@ -144,7 +145,7 @@
 	return experiment, sites, nil
 }
 
-// rate is the number of calls a second that makes the wanted share of what all slots can do.
+// rate returns the number of calls per second that loads all slots of the service to the requested share of capacity.
 func (compareCommand *compareCommand) rate(example *settings.Site) float64 {
 	name := settings.ServiceName(compareCommand.Service)
 	slots := float64(example.Services[name].SlotsPerTarget * exampleTargets[compareCommand.Site][name])
@@ -185,10 +186,10 @@
 	return result.WriteFiles(compareCommand.Out)
 }
 
-// reportServers prints what the backend servers counted.
+// reportServers prints the counters of the backend servers for each policy.
 func (compareCommand *compareCommand) reportServers(policies []comparedPolicy, sites []*sitetest.Site) error {
 	out := compareCommand.streams.out
-	fmt.Fprintln(out, "\npolicy: runs, load reports read, most running at once on one server, most connections to one server")
+	fmt.Fprintln(out, "\npolicy: runs, load reports read, maximum concurrent requests on one server, maximum connections to one server")
 	for index, site := range sites {
 		var sum backendservertest.Counts
 		for _, server := range site.Servers(settings.ServiceName(compareCommand.Service)) {
--- a/cmd/emulate.go
+++ b/cmd/emulate.go
@@ -6,9 +6,10 @@
 	"github.com/jaywheel/jaywheel/internal/emulate"
 )
 
-const emulateLong = `Plays an experiment in virtual time against the schedulers that place requests: backend servers that slow down in spells,
-callers that come back, instances that know each other's requests by readings only. Every variant gets the same seeds. A table of how
-requests ended goes to standard output; with --out, latencies are written as text, JSON and a plot as well.`
+const emulateLong = `Runs an experiment in virtual time against the schedulers that assign requests to backend servers. It models backend
+servers with temporary slowdowns, callers that retry, and instances that know of each other's requests only from load readings.
+All variants use the same seeds. Prints a table of the outcomes of requests; with --out, latencies are also written as text, JSON
+and a plot.`
 
 type emulateCommand struct {
 	Out  string `long:"out" value-name:"DIRECTORY" description:"Also write report.txt, report.json and report.svg there"`
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -13,12 +13,13 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-const explainLong = `Tells the story of one request: each backend server chosen, among how many, why, and what came of it. The id
-is the answer's Jaywheel-Request-Id header. An instance remembers its latest 4096 requests; ask the one that served it.`
+const explainLong = `Shows the trace of one request: for each attempt the backend server, the number of candidates, the reason for the
+choice, and the result. ID is the response's Jaywheel-Request-Id header. Each instance keeps the traces of its latest 4096
+requests, so query the instance that served the request.`
 
 type explainCommand struct {
 	Operator string `long:"operator" value-name:"IP:PORT" required:"yes" description:"Operator address of the instance"`
-	JSON     bool   `long:"json" description:"Print the story as JSON"`
+	JSON     bool   `long:"json" description:"Print the trace as JSON"`
 	Argument struct {
 		ID string `positional-arg-name:"ID" required:"yes"`
 	} `positional-args:"yes"`
@@ -37,25 +38,25 @@
 	}
 	var requestTrace trace.Request
 	if err := json.Unmarshal(text, &requestTrace); err != nil {
-		return errors.Wrapf(err, "answer of instance %s", explainCommand.Operator)
+		return errors.Wrapf(err, "parse the response of instance %s", explainCommand.Operator)
 	}
 	printTrace(explainCommand.streams.out, requestTrace)
 	return nil
 }
 
-// formatMilliseconds shortens a time for reading.
+// formatMilliseconds formats a duration in milliseconds with two decimals.
 func formatMilliseconds(length clock.Milliseconds) string {
 	return fmt.Sprintf("%.2fms", float64(length))
 }
 
 func printTrace(out io.Writer, requestTrace trace.Request) {
-	fmt.Fprintf(out, "request %s, %s %s/%s, settings revision %d, time allowed %s\n",
+	fmt.Fprintf(out, "request %s, %s %s/%s, settings revision %d, timeout %s\n",
 		requestTrace.ID, requestTrace.Method, requestTrace.Service, requestTrace.Class, requestTrace.Revision, formatMilliseconds(requestTrace.Timeout))
 	for number, attempt := range requestTrace.Attempts {
 		fmt.Fprintf(out, "%d. %s\n", number+1, describeChoice(attempt))
 		connection := "a new connection"
 		if attempt.Reused {
-			connection = "a kept connection"
+			connection = "a reused connection"
 		}
 		fmt.Fprintf(out, "   sent on %s; after %s: %s", connection, formatMilliseconds(attempt.Took), attempt.Result)
 		if attempt.Status != 0 {
@@ -68,14 +69,14 @@
 	}
 	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", requestTrace.Outcome, requestTrace.Reason, requestTrace.Status, formatMilliseconds(requestTrace.Whole))
 	if requestTrace.Error != "" {
-		fmt.Fprintf(out, "because: %s\n", requestTrace.Error)
+		fmt.Fprintf(out, "error: %s\n", requestTrace.Error)
 	}
 }
 
 func describeChoice(attempt trace.Attempt) string {
 	if attempt.Considered == 0 {
-		return fmt.Sprintf("no place was free; waited %s until %s in %s had one", formatMilliseconds(attempt.Waited), attempt.Target, attempt.DataCentre)
+		return fmt.Sprintf("no permit was free; waited %s until %s in %s had one", formatMilliseconds(attempt.Waited), attempt.Target, attempt.DataCentre)
 	}
-	return fmt.Sprintf("of %d targets with a free place, %s in %s had the smallest share taken (%d with this request)",
+	return fmt.Sprintf("of %d targets with a free permit, %s in %s had the smallest share of permits in use (%d including this request)",
 		attempt.Considered, attempt.Target, attempt.DataCentre, attempt.Taken)
 }
--- a/cmd/fleet.go
+++ b/cmd/fleet.go
@@ -21,10 +21,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const fleetLong = `Shows all instances on the users' platform at once: asks one for the others it knows, and then each of them at the same
-operator port. One line for each, those first with which something is wrong, then those that serve; then how many there are of each
-state, and what does not fit together: instances that don't answer, that have an older configuration than others, or that are lost to
-some and alive to others. Exit code 1 when anything does not fit, also where a filter leaves out its line.
+const fleetLong = `Shows all instances on the users' platform: queries one instance for its peers, then each peer at the same operator
+port. Prints one line for each instance, first instances with a problem, then serving instances; then the number of instances in
+each state, and the problems: instances that don't answer, that have an older configuration than others, or that are lost to some
+instances and alive to others. The exit code is 1 if there is any problem, even if a filter hides the instance.
 
   jaywheel fleet --operator 10.1.0.34:8544
   jaywheel fleet --operator 10.1.0.34:8544 --state serving
@@ -33,24 +33,24 @@
 
 type fleetCommand struct {
 	Operator   string `long:"operator" value-name:"IP:PORT" required:"yes" description:"Operator address of any instance"`
-	DataCentre string `long:"data-centre" value-name:"NAME" description:"Show the instances of this data centre only"`
-	State      string `long:"state" choice:"joining" choice:"standingBy" choice:"serving" choice:"leaving" choice:"lost" description:"Show the instances of this state only"`
-	Problems   bool   `long:"problems" description:"Show the instances only with which something is wrong"`
-	Teams      bool   `long:"teams" description:"Show teams with a rate limit in place of instances: asked, let in, refused, and by whom"`
+	DataCentre string `long:"data-centre" value-name:"NAME" description:"Show only instances in this data centre"`
+	State      string `long:"state" choice:"joining" choice:"standingBy" choice:"serving" choice:"leaving" choice:"lost" description:"Show only instances in this state"`
+	Problems   bool   `long:"problems" description:"Show only instances with a problem"`
+	Teams      bool   `long:"teams" description:"Show rate-limited teams instead of instances: requests asked, let in, refused and returned, by which instances"`
 	streams    streams
 }
 
-var errFleetInconsistent = errors.New("the instances do not agree")
+var errFleetInconsistent = errors.New("the fleet has problems")
 
-// fleetLine is one instance, as it sees itself or as the first one sees it when it does not answer.
+// fleetLine is one instance, with its own status or, if it does not answer, its status according to the first instance.
 type fleetLine struct {
 	status fleet.Status
 	err    error
-	// hasProblem says that a problem names the instance.
+	// hasProblem states whether one of the problems concerns the instance.
 	hasProblem bool
 }
 
-// problem is what is wrong with an instance.
+// problem is an inconsistency or failure of one instance.
 type problem struct {
 	instance settings.InstanceName
 	text     string
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// matchesFilters reports whether the filters let a line through.
+// matchesFilters reports whether a line is to be shown according to the flags.
 func (fleetCommand *fleetCommand) matchesFilters(line fleetLine) bool {
 	return (fleetCommand.DataCentre == "" || string(line.status.DataCentre) == fleetCommand.DataCentre) &&
 		(fleetCommand.State == "" || line.status.State == fleetCommand.State) && (!fleetCommand.Problems || line.hasProblem)
 }
 
-// sortFleet puts first what is wrong, then what serves.
+// sortFleet marks the instances with problems and sorts the lines: instances with problems first, then serving instances.
 func sortFleet(lines []fleetLine, problems []problem) {
 	for index := range lines {
 		lines[index].hasProblem = slices.ContainsFunc(problems, func(problem problem) bool { return problem.instance == lines[index].status.Instance })
@@ -112,7 +112,7 @@
 	})
 }
 
-// summary says how many instances there are of each state.
+// summary returns the number of instances in each state as text.
 func summary(lines []fleetLine) string {
 	counts := map[string]int{}
 	for _, line := range lines {
@@ -135,17 +135,18 @@
 	if err != nil {
 		return status, err
 	}
-	return status, errors.Wrapf(json.Unmarshal(text, &status), "answer of instance %s", address)
+	return status, errors.Wrapf(json.Unmarshal(text, &status), "parse the response of instance %s", address)
 }
 
-// maxConcurrentFetches is the number of instances that are asked at the same time.
+// maxConcurrentFetches is the largest number of instances that are queried concurrently.
 const maxConcurrentFetches = 32
 
-// fetchPeers asks all instances that the first one knows, several at a time, and returns them by name.
+// fetchPeers queries all peers of the first instance concurrently and returns a line for each peer and for the first
+// instance.
 func fetchPeers(address string, first fleet.Status) ([]fleetLine, error) {
 	own, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, errors.Wrap(err, "operator address")
+		return nil, errors.Wrap(err, "parse the operator address")
 	}
 	lines := make([]fleetLine, len(first.Peers)+1)
 	lines[len(first.Peers)].status = first
@@ -197,8 +198,8 @@
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-// fleetProblems says what does not fit together. Revisions may differ for a second; configurations must not for longer than they
-// take to come into force.
+// fleetProblems returns the inconsistencies between the instances. Settings revisions may differ for a second; configuration
+// versions may differ only for the time that a new version takes to come into force.
 func fleetProblems(lines []fleetLine) []problem {
 	var problems []problem
 	var newest catalog.Version
--- a/cmd/fleet_teams.go
+++ b/cmd/fleet_teams.go
@@ -13,14 +13,14 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// teamLine is one team over all instances that answered.
+// teamLine is the usage of one team, summed over all instances that answered.
 type teamLine struct {
 	usage quota.Usage
-	// instances are the instances that let its requests in or refused them.
+	// instances lists the instances that admitted or refused requests of the team.
 	instances []settings.InstanceName
 }
 
-// teamLines adds up what the instances tell, the most refused teams first.
+// teamLines sums the usage that the instances report for each team and sorts it by refused requests, most first.
 func teamLines(lines []fleetLine) []teamLine {
 	byName := map[string]*teamLine{}
 	for _, line := range lines {
--- a/cmd/fleet_test.go
+++ b/cmd/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/jaywheel/jaywheel/internal/service"
 )
 
-// statusServer answers for an instance at an address of its own; all have the same port.
+// statusServer starts a server that responds with the status of an instance at the given address.
 func statusServer(t *testing.T, address string, status func() fleet.Status) string {
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
@@ -31,8 +31,8 @@
 	return listener.Addr().String()
 }
 
-// Operators look at the fleet when something is wrong with a part of it. An instance that does not answer, one that is stuck at an
-// old configuration, and two that don't hear each other must be named, and a script must see that by the exit code.
+// Guards against inconsistencies of the fleet that the command does not report: an instance that does not answer, one with an
+// outdated configuration, and two of which one considers the other lost. Each must be named, and the exit code must be 1.
 func TestFleetShowsInconsistencies(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -42,7 +42,7 @@
 		expected []string
 	}{
 		{
-			"all fits",
+			"no problems",
 			fleet.Status{Instance: "entry-2", State: "serving", Ready: true, Version: 7},
 			"", ExitOK,
 			[]string{"entry-1   sofia-a      serving  true", "entry-2"},
@@ -54,12 +54,12 @@
 			[]string{"entry-2 has configuration 6 in force, others 7"},
 		},
 		{
-			"deaf to one that answers", fleet.Status{
+			"an instance that answers is lost to another", fleet.Status{
 				Instance: "entry-2", State: "serving", Version: 7, Peers: []fleet.PeerStatus{{Name: "entry-1", State: "lost"}},
 			}, "", ExitFailure, []string{"entry-2 has lost sight of entry-1, which answers"},
 		},
 		{
-			"one is gone",
+			"one does not answer",
 			fleet.Status{Instance: "entry-2", State: "serving", Version: 7},
 			"127.7.7.3:9", ExitFailure,
 			[]string{"entry-3 does not answer"},
@@ -90,7 +90,7 @@
 	require.Contains(t, err, "127.7.7.9:1")
 }
 
-// Guards against a listing of hundreds in which the one that is wrong can't be found.
+// Guards against a list of hundreds of instances in which the instance with a problem can't be found.
 func TestFleetShowsProblemsFirst(t *testing.T) {
 	first := fleet.Status{Instance: "entry-1", DataCentre: "sofia-a", State: "standingBy", Version: 7}
 	states := map[string]fleet.Status{
@@ -112,7 +112,7 @@
 		{"all", nil, []string{"entry-3", "entry-2", "entry-1"}},
 		{"one data centre", []string{"--data-centre", "sofia-b"}, []string{"entry-3", "entry-2"}},
 		{"one state", []string{"--state", "serving"}, []string{"entry-2"}},
-		{"what is wrong", []string{"--problems"}, []string{"entry-3"}},
+		{"with a problem", []string{"--problems"}, []string{"entry-3"}},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -18,23 +18,23 @@
 	"github.com/jaywheel/jaywheel/platform"
 )
 
-const gatewayLong = `Runs one instance on the users' platform until it is told to leave: it finds the other instances by the
-seeds of its settings, and reads routes and backend servers from the platform's store. SIGTERM or SIGINT makes it leave without
-cutting off a request; SIGINT after that ends it at once, with 4. Its settings are read anew on SIGHUP and whenever the file
-changes. Log lines are JSON on standard output.`
+const gatewayLong = `Runs one instance on the users' platform until it receives a signal. It finds the other instances by the seeds
+in its settings, and reads routes and backend servers from the platform's store. SIGTERM or SIGINT makes it drain without
+interrupting a request; a SIGINT after that ends it immediately, with 4. Its settings are reloaded on SIGHUP and whenever the
+file changes. Log lines are JSON on standard output.`
 
-// Running a gateway.
+// Parameters of the gateway command.
 const (
-	// logBufferLines is the number of log lines that may wait to be written; more are dropped and counted, so that a slow
-	// reader of the log never holds up a request.
+	// logBufferLines is the number of log lines that are buffered until they are written. Further lines are dropped and
+	// counted, so that a slow reader of the log never blocks a request.
 	logBufferLines = 2048
-	// logFlushInterval is how often waiting lines are written.
+	// logFlushInterval is the interval at which buffered lines are written.
 	logFlushInterval = 20 * time.Millisecond
-	// filePollInterval is how often the settings file is looked at: it may change without a signal, and file events are
-	// not to be had on the platform.
+	// filePollInterval is the interval at which the settings file is checked for changes. The file may change without a
+	// signal, and file events are not available on the platform.
 	filePollInterval = 500 * time.Millisecond
-	// gcPercent is the growth of the heap between two collections, in percent: memory costs more here than the processor
-	// time that fewer collections would save.
+	// gcPercent is the growth of the heap between two garbage collections, in percent. It is not higher because memory
+	// costs more here than the processor time that fewer collections would save.
 	gcPercent = 100
 )
 
@@ -57,12 +57,12 @@
 	var droppedLines int
 	writer := diode.NewWriter(gatewayCommand.streams.out, logBufferLines, logFlushInterval, func(count int) { droppedLines += count })
 	defer func() {
-		// What was still to be written is on its way out; nobody is left to be told of a failure.
+		// Close writes the buffered lines. A failure can't be logged any more.
 		_ = writer.Close()
 	}()
 	log := zerolog.New(writer).Level(level).With().Timestamp().Str("instance", string(file.Instance)).Logger()
 	store := platform.NewStore(file.StoreAddress)
-	started, err := gateway.New(gateway.Options{
+	instance, err := gateway.New(gateway.Options{
 		Settings: file, Log: log,
 		Platform: gateway.Platform{
 			Source: store.Source(), SetStore: store.SetAddress, Dialect: platform.NewDialect(), ReadProbe: platform.ReadProbe,
@@ -73,27 +73,28 @@
 		return err
 	}
 	for _, warning := range file.Warnings {
-		log.Warn().Str("field", warning.Path).Str("problem", warning.Reason).Msg("settings not understood in part")
+		log.Warn().Str("field", warning.Path).Str("problem", warning.Reason).Msg("field of the settings not understood")
 	}
 	log.Info().Str("callers", file.CallerAddress).Str("dataCentre", string(file.DataCentre)).Msg("started")
 	defer func() { log.Info().Int("linesDropped", droppedLines).Msg("stopped") }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go gatewayCommand.watchFile(ctx, started, log)
+	go gatewayCommand.watchFile(ctx, instance, log)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	return lifecycle{serve: started.Serve, drain: started.Leave, forcesExit: isInterrupt, bounded: true}.run(signals, 0)
+	return lifecycle{serve: instance.Serve, drain: instance.Leave, forcesExit: isInterrupt, bounded: true}.run(signals, 0)
 }
 
-// isInterrupt reports whether a person has asked for the end. The platform may repeat SIGTERM while an instance leaves, as when two
-// restarts overlap; it kills what takes too long by itself. Ending at once would cut off requests that have seconds left.
+// isInterrupt reports whether the signal is SIGINT, which a person sends from a terminal. The platform may repeat SIGTERM while
+// an instance drains, for example when two restarts overlap, and it kills instances that take too long. Ending immediately on a
+// repeated SIGTERM would interrupt requests that have seconds left.
 func isInterrupt(signal os.Signal) bool {
 	return signal == syscall.SIGINT
 }
 
-// watchFile reads the settings anew when they have changed. A file that can't be right changes nothing.
-func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, started *gateway.Gateway, log zerolog.Logger) {
+// watchFile reloads the settings on SIGHUP and when the file has changed. Invalid settings are logged and ignored.
+func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, instance *gateway.Gateway, log zerolog.Logger) {
 	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	before := statFile(gatewayCommand.Settings)
@@ -112,17 +113,17 @@
 		before = statFile(gatewayCommand.Settings)
 		file, err := settings.LoadGateway(gatewayCommand.Settings)
 		if err == nil {
-			err = started.Reload(ctx, file)
+			err = instance.Reload(ctx, file)
 		}
 		if err != nil {
-			log.Error().Str("problem", err.Error()).Str("why", why).Msg("settings refused, the last good ones stay")
+			log.Error().Str("problem", err.Error()).Str("why", why).Msg("settings rejected, keeping the previous settings")
 			continue
 		}
 		log.Info().Str("why", why).Msg("settings read anew")
 	}
 }
 
-// fileState tells one state of a file from another.
+// fileState identifies a version of a file by its modification time and size.
 type fileState struct {
 	at   time.Time
 	size int64
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -18,13 +18,14 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const loadLong = `Sends calls at times fixed ahead and reports latencies counted from those times, so that a stall counts for
-all who would have come. With --site it runs against a user's example site on stand-ins in this process; with --ask
-against running instances. Variants take turns in slices: "through" goes through instances, "direct" straight to the
-backend servers (stand-ins only). The mix is a JSON file of calls with weights, or one call of each class.`
+const loadLong = `Sends calls at scheduled times and reports latencies measured from these times, so that a stall counts for all calls
+scheduled during it. With --site it runs against a user's example site with fake backend servers in this process; with --ask
+against running instances. Variants take turns in time slices: "through" sends calls through instances, "direct" sends them
+directly to the backend servers (with --site only). The mix is a JSON file of calls with weights; by default it is one call of
+each class.`
 
 type loadCommand struct {
-	Site        string             `long:"site" choice:"rodopa" choice:"malabon" description:"Example site to run on stand-ins"`
+	Site        string             `long:"site" choice:"rodopa" choice:"malabon" description:"Example site to run with fake backend servers"`
 	Ask         []string           `long:"ask" value-name:"IP:PORT" description:"Caller address of a running instance; may be repeated"`
 	Mix         string             `long:"mix" value-name:"FILE" description:"Mix of calls; needed with --ask"`
 	Rate        float64            `long:"rate" default:"500" value-name:"CALLS" description:"Calls per second"`
@@ -32,18 +33,18 @@
 	Rounds      int                `long:"rounds" default:"5" description:"How often every variant sends"`
 	Variants    string             `long:"variants" default:"direct,through" description:"Variants that take turns, separated by commas"`
 	Instances   int                `long:"instances" default:"5" description:"Entry instances of the example site"`
-	ServiceTime clock.Milliseconds `long:"service-time" default:"10ms" value-name:"TIME" description:"Median service time of the stand-ins, with its unit; 0ms for none"`
+	ServiceTime clock.Milliseconds `long:"service-time" default:"10ms" value-name:"TIME" description:"Median service time of fake backend servers, with unit; 0ms for none"`
 	Seed        uint64             `long:"seed" default:"1" description:"Seed of arrivals and service times"`
 	Out         string             `long:"out" value-name:"DIRECTORY" description:"Also write report.txt, report.json and report.svg there"`
 	streams     streams
 }
 
 var (
-	errDirectNeedsSite = errors.New("direct needs --site: the addresses of real backend servers are the instances' to know")
+	errDirectNeedsSite = errors.New("direct needs --site: only instances know the addresses of real backend servers")
 	errOneSource       = errors.New("give either --site or --ask")
 	errMixRequired     = errors.New("--ask needs --mix")
-	errUnknownVariant  = errors.New("variants are direct and through")
-	errNotPositive     = errors.New("--rate, --slice and --rounds must be above zero")
+	errUnknownVariant  = errors.New("unknown variant; variants are direct and through")
+	errNotPositive     = errors.New("--rate, --slice and --rounds must be greater than 0")
 )
 
 // Execute implements flags.Commander.
@@ -96,7 +97,7 @@
 	}
 }
 
-// startSite starts the example site and waits until its backend servers are warm.
+// startSite starts the example site and waits until its backend servers are warmed up.
 func (loadCommand *loadCommand) startSite(ctx context.Context) (*sitetest.Site, error) {
 	example, err := loadExample(loadCommand.Site)
 	if err != nil {
--- a/cmd/main.go
+++ b/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd is the command line: one file for each subcommand.
+// Package cmd implements the command line, with one file for each subcommand.
 //
 // # Usage
 //
@@ -16,19 +16,19 @@
 
 // Exit codes of the program.
 const (
-	// ExitOK means that the command did what was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailure means that something went wrong that is not the command line's or a file's fault.
+	// ExitFailure means that the command failed for a reason other than an invalid command line or input file.
 	ExitFailure = 1
-	// ExitUsage means that the command line makes no sense.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitInvalid means that settings or another input file were refused.
+	// ExitInvalid means that the settings or another input file are invalid.
 	ExitInvalid = 3
-	// ExitForced means that a second signal ended the program at once, with requests under way.
+	// ExitForced means that a second signal ended the program immediately, with requests still in flight.
 	ExitForced = 4
 )
 
-// exitError ends the program with a code of its own.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code  int
 	cause error
@@ -44,7 +44,7 @@
 	return exitError.cause
 }
 
-// withExitCode makes the program end with code.
+// withExitCode returns an error that ends the program with code, or nil if cause is nil.
 func withExitCode(code int, cause error) error {
 	if cause == nil {
 		return nil
@@ -52,13 +52,13 @@
 	return &exitError{code: code, cause: cause}
 }
 
-// streams are where a command writes.
+// streams holds the outputs to which a command writes.
 type streams struct {
 	out io.Writer
 	err io.Writer
 }
 
-// command is a subcommand's registration.
+// command is the definition of a subcommand.
 type command struct {
 	name  string
 	short string
@@ -70,22 +70,22 @@
 	return []command{
 		{"serve", "Run one entry instance", serveLong, &serveCommand{streams: streams}},
 		{"gateway", "Run one instance on the users' platform", gatewayLong, &gatewayCommand{streams: streams}},
-		{"check", "Check settings and show what is in force", checkLong, &checkCommand{streams: streams}},
+		{"check", "Check settings and show the effective result", checkLong, &checkCommand{streams: streams}},
 		{"render", "Write the documents to publish", renderLong, &renderCommand{streams: streams}},
-		{"addresses", "Ask an instance which addresses callers should use", addressesLong, &addressesCommand{streams: streams}},
+		{"addresses", "List the addresses that callers of a service should use", addressesLong, &addressesCommand{streams: streams}},
 		{"status", "Show an instance's state", statusLong, &statusCommand{streams: streams}},
-		{"explain", "Tell the story of one request", explainLong, &explainCommand{streams: streams}},
-		{"try", "Run a whole site on embedded stand-ins", tryLong, &tryCommand{streams: streams}},
-		{"load", "Send an open-loop load and measure it", loadLong, &loadCommand{streams: streams}},
+		{"explain", "Show the trace of one request", explainLong, &explainCommand{streams: streams}},
+		{"try", "Run complete sites with embedded fake backend servers", tryLong, &tryCommand{streams: streams}},
+		{"load", "Send an open-loop load and measure latencies", loadLong, &loadCommand{streams: streams}},
 		{"compare", "Compare policies under noisy neighbours", compareLong, &compareCommand{streams: streams}},
 		{"fleet", "Show all instances on the users' platform", fleetLong, &fleetCommand{streams: streams}},
-		{"emulate", "Play an experiment in virtual time", emulateLong, &emulateCommand{streams: streams}},
+		{"emulate", "Run an experiment in virtual time", emulateLong, &emulateCommand{streams: streams}},
 	}
 }
 
 const programLong = `jaywheel balances the requests of callers over backend servers whose load shifts in milliseconds.
 
-Exit codes: 0 done; 1 failed; 2 wrong command line; 3 settings or input refused; 4 ended at once by a second signal.`
+Exit codes: 0 success; 1 failure; 2 invalid command line; 3 invalid settings or input; 4 ended immediately by a second signal.`
 
 // Main runs the command line and returns the exit code.
 func Main(arguments []string) int {
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -24,7 +24,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// runCommandLine runs a command line and returns its exit code and what it wrote.
+// runCommandLine runs a command line and returns its exit code and output.
 func runCommandLine(arguments ...string) (code int, out, err string) {
 	var outBuffer, errBuffer bytes.Buffer
 	code = run(arguments, streams{out: &outBuffer, err: &errBuffer})
@@ -32,8 +32,8 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	wrong := filepath.Join(t.TempDir(), "wrong.json")
-	require.NoError(t, os.WriteFile(wrong, []byte(`{"revision": "one"}`), 0o600))
+	invalidPath := filepath.Join(t.TempDir(), "wrong.json")
+	require.NoError(t, os.WriteFile(invalidPath, []byte(`{"revision": "one"}`), 0o600))
 	base := "../examples/rodopa.base.json"
 	cases := []struct {
 		name      string
@@ -48,14 +48,14 @@
 		{"unknown flag", []string{"check", "--louder"}, ExitUsage, "", "louder"},
 		{"bare number for a time", []string{"try", "--for", "5"}, ExitUsage, "", "missing unit"},
 		{"check", []string{"check", "--base", base, "--overlay", "../examples/rodopa.sofia.json"}, ExitOK, "fleet.answerKept: \"5s\" -> \"3s\"", ""},
-		{"check of wrong settings", []string{"check", "--base", wrong}, ExitInvalid, "", "revision: got string, want integer"},
-		{"check of no file", []string{"check", "--base", "none.json"}, ExitFailure, "", "none.json"},
+		{"check of invalid settings", []string{"check", "--base", invalidPath}, ExitInvalid, "", "revision: got string, want integer"},
+		{"check of a missing file", []string{"check", "--base", "none.json"}, ExitFailure, "", "none.json"},
 		{"render", []string{"render", "--base", base, "--out", filepath.Join(t.TempDir(), "out")}, ExitOK, "4 of 4 documents changed", ""},
-		{"serve with wrong settings", []string{"serve", "--settings", wrong}, ExitInvalid, "", "missing propert"},
-		{"load of nothing", []string{"load"}, ExitUsage, "", "either --site or --ask"},
+		{"serve with invalid settings", []string{"serve", "--settings", invalidPath}, ExitInvalid, "", "missing propert"},
+		{"load without a source", []string{"load"}, ExitUsage, "", "either --site or --ask"},
 		{"load without a mix", []string{"load", "--ask", "127.0.0.1:1"}, ExitUsage, "", "--ask needs --mix"},
-		{"load with a wrong mix", []string{"load", "--ask", "127.0.0.1:1", "--mix", wrong}, ExitInvalid, "", "unknown field"},
-		{"status of nobody", []string{"status", "--operator", "127.0.0.1:1"}, ExitFailure, "", "ask instance 127.0.0.1:1"},
+		{"load with an invalid mix", []string{"load", "--ask", "127.0.0.1:1", "--mix", invalidPath}, ExitInvalid, "", "unknown field"},
+		{"status without an instance", []string{"status", "--operator", "127.0.0.1:1"}, ExitFailure, "", "query instance 127.0.0.1:1"},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// The first signal makes an instance leave in peace, the second ends it at once, and a part that ends by itself is told. Where
-// the platform may repeat its signal, that must not cut off the callers whose requests are under way.
+// The first signal makes an instance drain, the second ends it immediately, and an error of serve is returned. Guards against a
+// SIGTERM that the platform repeats and that interrupts requests in flight.
 func TestSignals(t *testing.T) {
 	errServe := errors.New("serving ended")
 	cases := []struct {
@@ -112,7 +112,7 @@
 	}
 }
 
-// startJSONServer serves one JSON value at a path, as an instance does to its operators.
+// startJSONServer starts a server with one JSON value at a path, like the operator address of an instance.
 func startJSONServer(t *testing.T, path string, value any) string {
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
@@ -151,13 +151,13 @@
 	code, out, _ := runCommandLine("explain", "--operator", address, "r-1")
 	require.Equal(t, ExitOK, code)
 	for _, part := range []string{
-		"of 20 targets with a free place, browsing-1", "connection reset", "waited 12.00ms until browsing-2", "a kept connection", "outcome answered",
+		"of 20 targets with a free permit, browsing-1", "connection reset", "waited 12.00ms until browsing-2", "a reused connection", "outcome answered",
 	} {
 		require.Contains(t, out, part)
 	}
 }
 
-// cancelingWriter is a writer that ends a command once it has written what was waited for.
+// cancelingWriter cancels a context once the text that was written to it contains until.
 type cancelingWriter struct {
 	mutex  sync.Mutex
 	text   strings.Builder
@@ -166,21 +166,21 @@
 }
 
 // Write implements io.Writer.
-func (watched *cancelingWriter) Write(text []byte) (int, error) {
-	watched.mutex.Lock()
-	defer watched.mutex.Unlock()
-	watched.text.Write(text)
-	if strings.Contains(watched.text.String(), watched.until) {
-		watched.cancel()
+func (cancelingWriter *cancelingWriter) Write(text []byte) (int, error) {
+	cancelingWriter.mutex.Lock()
+	defer cancelingWriter.mutex.Unlock()
+	cancelingWriter.text.Write(text)
+	if strings.Contains(cancelingWriter.text.String(), cancelingWriter.until) {
+		cancelingWriter.cancel()
 	}
 	return len(text), nil
 }
 
-// The main job of the README runs on stand-ins, says how to call it, and shows what happens.
+// Guards against a first example of the README that does not start, print the commands to call it, or show its progress.
 func TestTry(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	out := &cancelingWriter{until: "malabon      ", cancel: end}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	out := &cancelingWriter{until: "malabon      ", cancel: cancel}
 	try := tryCommand{Instances: 3, Rate: 20, streams: streams{out: out, err: io.Discard}}
 	require.NoError(t, try.run(ctx))
 	for _, part := range []string{"Kalinga Gateway", "curl -i -H 'Host: slots.rodopa.example'", "jaywheel status --operator", "rodopa "} {
--- a/cmd/render.go
+++ b/cmd/render.go
@@ -6,9 +6,9 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const renderLong = `Writes the documents to publish at the configuration service: site.json, and service/NAME.json for each
-service. A document that changed since the last rendering into the same directory must have a higher revision, or else
-nothing is written and the exit code is 3: instances would never apply it.`
+const renderLong = `Writes the documents to publish in the configuration service: site.json, and service/NAME.json for each
+service. A document that changed since the last rendering into the same directory must have a higher revision. Otherwise
+instances would ignore it, so nothing is written and the exit code is 3.`
 
 type renderCommand struct {
 	siteFlags
--- a/cmd/settings.go
+++ b/cmd/settings.go
@@ -10,7 +10,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// siteFlags name a site's files.
+// siteFlags are the flags for the settings files of a site.
 type siteFlags struct {
 	Base    string `long:"base" value-name:"FILE" required:"yes" description:"Base file of settings"`
 	Overlay string `long:"overlay" value-name:"FILE" description:"Overlay for one site, a JSON merge patch (RFC 7396)"`
@@ -21,7 +21,7 @@
 	return loaded, withInvalidCode(err)
 }
 
-// withInvalidCode gives refused settings their exit code.
+// withInvalidCode adds the exit code ExitInvalid to errors of invalid settings and returns other errors unchanged.
 func withInvalidCode(err error) error {
 	if settings.IsErrInvalid(err) {
 		return withExitCode(ExitInvalid, err)
@@ -29,11 +29,11 @@
 	return err
 }
 
-// exampleOverlays are the overlays of the embedded examples, by user.
+// exampleOverlays maps each user to the overlay of its embedded example.
 var exampleOverlays = map[string]string{"rodopa": "rodopa.sofia.json", "malabon": "malabon.ncr-north.json"}
 
-// loadExample loads one user's embedded example. The files pass through a directory so that they take the same way as
-// an operator's.
+// loadExample loads the embedded example of a user. It writes the files to a temporary directory so that they are loaded
+// in the same way as an operator's files.
 func loadExample(user string) (*settings.Site, error) {
 	directory, err := os.MkdirTemp("", "jaywheel-example-")
 	if err != nil {
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -12,9 +12,9 @@
 	"github.com/jaywheel/jaywheel/internal/operator"
 )
 
-const statusLong = `Shows an instance's state: settings in force and refused, peers, and for each service the backend servers
-with the places taken. Columns: own = requests of this instance in flight; held = places kept taken after a failure;
-limit = requests this instance may have in flight there; conns = open connections.`
+const statusLong = `Shows the state of an instance: settings in force and rejected, peers, and for each service the backend servers
+with the permits in use. Columns: own = requests of this instance in flight; held = permits kept in use after a failure;
+limit = requests that this instance may have in flight there; conns = open connections.`
 
 type statusCommand struct {
 	Operator string `long:"operator" value-name:"IP:PORT" required:"yes" description:"Operator address of the instance"`
@@ -34,7 +34,7 @@
 	}
 	var status control.Status
 	if err := json.Unmarshal(text, &status); err != nil {
-		return errors.Wrapf(err, "answer of instance %s", statusCommand.Operator)
+		return errors.Wrapf(err, "parse the response of instance %s", statusCommand.Operator)
 	}
 	return printStatus(statusCommand.streams.out, status)
 }
--- a/cmd/try.go
+++ b/cmd/try.go
@@ -19,9 +19,9 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const tryLong = `Starts both users' sites in this process, on loopback: a stand-in of the platform, backend servers that warm
-up, and real entry instances in three data centres. Prints how to call it, sends a little traffic, and shows a line a
-second of what happens until it is stopped by Ctrl-C or the time is over.`
+const tryLong = `Starts the example sites of both users in this process, on loopback: a fake platform, fake backend servers that
+warm up, and real entry instances in three data centres. Prints the commands to call them, sends some traffic, and prints a
+line of statistics per second for each site until it is stopped by Ctrl-C or the time is over.`
 
 type tryCommand struct {
 	Instances int                `long:"instances" default:"5" description:"Entry instances of each site"`
@@ -30,7 +30,7 @@
 	streams   streams
 }
 
-// exampleTargets are the numbers of backend servers of both users today.
+// exampleTargets holds the present numbers of backend servers of both users, by service.
 var exampleTargets = map[string]map[settings.ServiceName]int{
 	"rodopa":  {"browsing": 20, "booking": 10, "archive": 6},
 	"malabon": {"statements": 15, "fees": 7, "exports": 6},
@@ -63,12 +63,12 @@
 		}
 		generators = append(generators, generator)
 	}
-	fmt.Fprintln(tryCommand.streams.out, "\nBackend servers start cold, so the first seconds answer slowly or not at all. Ctrl-C stops.")
+	fmt.Fprintln(tryCommand.streams.out, "\nBackend servers start cold, so responses are slow or missing in the first seconds. Ctrl-C stops.")
 	tryCommand.showProgress(ctx, generators)
 	return nil
 }
 
-// startExample starts a user's example site on stand-ins.
+// startExample starts a user's example site with fake backend servers.
 func startExample(user string, instances int) (*sitetest.Site, error) {
 	site, err := loadExample(user)
 	if err != nil {
@@ -87,7 +87,7 @@
 	fmt.Fprintf(out, "\n%s (%s)\n", user, site.Settings.Gateway)
 	first := site.Entries()[0]
 	for name, service := range site.Settings.Services {
-		fmt.Fprintf(out, "  which addresses: curl 'http://%s%s?service=%s'\n", first.CallerAddress(), caller.AddressesPath, name)
+		fmt.Fprintf(out, "  addresses:       curl 'http://%s%s?service=%s'\n", first.CallerAddress(), caller.AddressesPath, name)
 		fmt.Fprintf(out, "  call:            curl -i -H 'Host: %s' http://%s%s\n", service.Hosts[0], first.CallerAddress(), service.PathPrefix)
 	}
 	fmt.Fprintf(out, "  status:          jaywheel status --operator %s\n", first.OperatorAddress())
@@ -109,13 +109,13 @@
 
 func seedsOf(site *sitetest.Site) []string {
 	var seeds []string
-	for _, started := range site.Entries() {
-		seeds = append(seeds, started.CallerAddress())
+	for _, entry := range site.Entries() {
+		seeds = append(seeds, entry.CallerAddress())
 	}
 	return seeds
 }
 
-// showProgress prints a line a second for each site.
+// showProgress prints a line per second for each site until the context is done.
 func (tryCommand *tryCommand) showProgress(ctx context.Context, generators []*load.Generator) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds complete settings for both first users, embedded so that the program can run them on
-// stand-ins anywhere.
+// Package examples contains complete settings of the first two users. They are embedded so that the program can run
+// them anywhere with fake backend servers.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 
 import "embed"
 
-// Files are the settings files of this directory.
+// Files contains the settings files of this directory.
 //
 //go:embed *.json
 var Files embed.FS
--- a/main.go
+++ b/main.go
@@ -2,7 +2,7 @@
 //
 // # Usage
 //
-//	jaywheel try                                   run everything on embedded stand-ins
+//	jaywheel try                                   run a complete site with embedded fake backend servers
 //	jaywheel serve --settings instance.json        run one instance
 //	jaywheel --help                                list every subcommand
 package main
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -141,8 +141,8 @@
 	for _, name := range sortedKeys(service.Classes) {
 		for _, method := range service.Classes[name].Methods {
 			for _, prefix := range service.Classes[name].Paths {
-				other, taken := claimed[claim{method, prefix}]
-				if taken && other != name {
+				other, used := claimed[claim{method, prefix}]
+				if used && other != name {
 					checker.add(join(path, string(name)), "%s %s is already used by class %s", method, prefix, other)
 				}
 				claimed[claim{method, prefix}] = name
@@ -160,8 +160,8 @@
 	for _, name := range sortedKeys(services) {
 		service := services[name]
 		for _, host := range service.Hosts {
-			other, taken := claimed[claim{host, service.PathPrefix}]
-			if taken {
+			other, used := claimed[claim{host, service.PathPrefix}]
+			if used {
 				checker.add("services."+string(name)+".hosts", "%s%s is already used by service %s", host, service.PathPrefix, other)
 			}
 			claimed[claim{host, service.PathPrefix}] = name
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -56,7 +56,7 @@
 			"suspicion after one lost datagram", `"instancesMost": 17`, `"instancesMost": 17, "suspectAfter": "800ms"`,
 			[]string{"fleet.suspectAfter: 800ms is less than three heartbeats"},
 		},
-		{"more instances per service than in the fleet", `"instancesMost": 17`, `"instancesMost": 2`, []string{"fleet.instancesPerService: 3 is more than fleet.instancesMost, 2"}},
+		{"more per service than instances", `"instancesMost": 17`, `"instancesMost": 2`, []string{"fleet.instancesPerService: 3 is more than fleet.instancesMost, 2"}},
 		{"size in an unknown unit", `"idempotent"`, `"bodyMost": "1MB", "idempotent"`, []string{"bodyMost: '1MB' does not match pattern"}},
 		{"size out of range", `"idempotent"`, `"bodyMost": "99999999999GiB", "idempotent"`, []string{"a size is a whole number"}},
 		{"three problems at once", `"revision": 1, "tenant": "rodopa"`, `"revision": 0, "tenant": "", "more": 1`, []string{
@@ -95,13 +95,13 @@
 	}
 	require.Equal(t, []string{"revision", "services.browsing.queue"}, paths)
 
-	wrong := writeFile(t, "wrong.json", `{"services": {"browsing": {"queue": {"wait": 5}, "slotsPerTarget": 0}}} trailing`)
-	_, err = LoadSite(base, wrong)
-	require.ErrorContains(t, err, wrong+": text after the end")
-	wrong = writeFile(t, "wrong.json", `{"services": {"browsing": {"queue": {"wait": 5}, "slotsPerTarget": 0}}}`)
-	_, err = LoadSite(base, wrong)
-	require.ErrorContains(t, err, wrong+": services.browsing.queue.wait: got number, want string")
-	require.ErrorContains(t, err, wrong+": services.browsing.slotsPerTarget: minimum: got 0, want 1")
+	invalidOverlay := writeFile(t, "wrong.json", `{"services": {"browsing": {"queue": {"wait": 5}, "slotsPerTarget": 0}}} trailing`)
+	_, err = LoadSite(base, invalidOverlay)
+	require.ErrorContains(t, err, invalidOverlay+": text after the end")
+	invalidOverlay = writeFile(t, "wrong.json", `{"services": {"browsing": {"queue": {"wait": 5}, "slotsPerTarget": 0}}}`)
+	_, err = LoadSite(base, invalidOverlay)
+	require.ErrorContains(t, err, invalidOverlay+": services.browsing.queue.wait: got number, want string")
+	require.ErrorContains(t, err, invalidOverlay+": services.browsing.slotsPerTarget: minimum: got 0, want 1")
 	_, err = LoadSite(base, filepath.Join(t.TempDir(), "none.json"))
 	require.ErrorIs(t, err, os.ErrNotExist)
 	require.False(t, IsErrInvalid(err))
