--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -22,18 +22,18 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const compareLong = `Compares policies on one service of an example site: real instances and stand-ins of backend servers in this
-process, each policy with a site of its own, all with the same seeds, taking turns. A policy is NAME@K: K instances serve the
-service, out of --instances. "leastTaken@1" is one queue with full knowledge of every slot, the upper baseline. Noisy
-neighbours make each backend server ten times slower for 50 to 500 ms, 3% of the time.`
+const compareLong = `Compares policies on one service of an example site with real instances and fake backend servers in this process.
+Each policy has its own site with the same seeds, and the policies take turns. A policy is NAME@K: K of the --instances serve
+the service. "leastTaken@1" is a single queue that knows the state of every slot, the upper baseline. Noisy neighbours make each
+backend server ten times slower for 50 to 500 ms, 3% of the time.`
 
-// serviceSigma is the spread of the logarithm of service times.
+// serviceSigma is the standard deviation of the logarithm of service times.
 const serviceSigma = 0.5
 
-// Noise of neighbours in a comparison.
+// Slowdowns by noisy neighbours: the fraction of time, and the factor by which service times grow.
 const (
-	noiseShare = 0.03
-	noiseSlow  = 10
+	noiseShare  = 0.03
+	noiseFactor = 10
 )
 
 type compareCommand struct {
@@ -51,9 +51,9 @@
 	streams     streams
 }
 
-var errPolicy = errors.New("a policy is NAME@K, with a name that there is and K at least 1")
+var errPolicy = errors.New("a policy is NAME@K, where NAME is a known policy and K at least 1")
 
-// comparedPolicy is a policy and the number of instances that serve the service.
+// comparedPolicy is a policy with the number of instances that serve the service.
 type comparedPolicy struct {
 	text    string
 	policy  service.Policy
@@ -79,7 +79,7 @@
 	defer stop()
 	policies, err := parsePolicies(compareCommand.Policies)
 	if err != nil {
-		return withCode(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	example, err := loadExample(compareCommand.Site)
 	if err != nil {
@@ -88,10 +88,10 @@
 	name := settings.ServiceName(compareCommand.Service)
 	compared, known := example.Services[name]
 	if !known {
-		return withCode(ExitUsage, errors.Newf("%s has no service %q", compareCommand.Site, name))
+		return withExitCode(ExitUsage, errors.Newf("%s has no service %q", compareCommand.Site, name))
 	}
 	example.Services = map[settings.ServiceName]settings.Service{name: compared}
-	experiment, sites, err := compareCommand.prepare(ctx, example, policies)
+	experiment, sites, err := compareCommand.prepareExperiment(ctx, example, policies)
 	defer closeAll(sites)
 	if err != nil {
 		return err
@@ -108,8 +108,9 @@
 	}
 }
 
-// prepare starts a site for each policy.
-func (compareCommand *compareCommand) prepare(
+// prepareExperiment starts a site for each policy and returns the experiment and the sites. The caller must close the
+// sites, also after an error.
+func (compareCommand *compareCommand) prepareExperiment(
 	ctx context.Context, example *settings.Site, policies []comparedPolicy,
 ) (load.Experiment, []*sitetest.Site, error) {
 	name := settings.ServiceName(compareCommand.Service)
@@ -135,7 +136,7 @@
 		if !compareCommand.Quiet {
 			variant.Background = func(ctx context.Context, round int) {
 				site.InjectNoise(ctx, name, sitetest.Noise{
-					Share: noiseShare, SlowdownFactor: noiseSlow, MinSlowInterval: 50, MaxSlowInterval: 500, Seed: compareCommand.Seed + uint64(round),
+					Share: noiseShare, SlowdownFactor: noiseFactor, MinSlowInterval: 50, MaxSlowInterval: 500, Seed: compareCommand.Seed + uint64(round),
 				})
 			}
 		}
@@ -144,13 +145,13 @@
 	return experiment, sites, nil
 }
 
-// rate is the number of calls a second that makes the wanted share of what all slots can do.
+// rate returns the number of calls per second that loads all slots of the service to the requested share of capacity.
 func (compareCommand *compareCommand) rate(example *settings.Site) float64 {
 	name := settings.ServiceName(compareCommand.Service)
 	slots := float64(example.Services[name].SlotsPerTarget * exampleTargets[compareCommand.Site][name])
 	mean := float64(compareCommand.ServiceTime) * math.Exp(serviceSigma*serviceSigma/2)
 	if !compareCommand.Quiet {
-		mean *= 1 + noiseShare*(noiseSlow-1)
+		mean *= 1 + noiseShare*(noiseFactor-1)
 	}
 	return compareCommand.Load * slots * float64(clock.Second) / mean
 }
@@ -159,7 +160,7 @@
 	name := settings.ServiceName(compareCommand.Service)
 	quick := sitetest.WithShortIntervals(example, clock.Second)
 	quick.Fleet.InstancesPerService = policy.serving
-	quick.Fleet.HeartbeatEvery = 300 * clock.Millisecond
+	quick.Fleet.HeartbeatInterval = 300 * clock.Millisecond
 	quick.Fleet.SuspectAfter = clock.Second
 	if policy.policy.NeedsLoadReports() {
 		quick.Measuring.ReportsPerTargetPerSecond = 10
@@ -185,10 +186,10 @@
 	return result.WriteFiles(compareCommand.Out)
 }
 
-// reportServers prints what the backend servers counted.
+// reportServers prints the counters of the backend servers for each policy.
 func (compareCommand *compareCommand) reportServers(policies []comparedPolicy, sites []*sitetest.Site) error {
 	out := compareCommand.streams.out
-	fmt.Fprintln(out, "\npolicy: runs, load reports read, most running at once on one server, most connections to one server")
+	fmt.Fprintln(out, "\npolicy: runs, load reports read, maximum concurrent requests on one server, maximum connections to one server")
 	for index, site := range sites {
 		var sum backendservertest.Counts
 		for _, server := range site.Servers(settings.ServiceName(compareCommand.Service)) {
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -18,24 +18,24 @@
 	"github.com/jaywheel/jaywheel/platform"
 )
 
-const gatewayLong = `Runs one instance on the users' platform until it is told to leave: it finds the other instances by the
-seeds of its settings, and reads routes and backend servers from the platform's store. SIGTERM or SIGINT makes it leave without
-cutting off a request; SIGINT after that ends it at once, with 4. Its settings are read anew on SIGHUP and whenever the file
-changes. Log lines are JSON on standard output.`
+const gatewayLong = `Runs one instance on the users' platform until it receives a signal. It finds the other instances by the seeds
+in its settings, and reads routes and backend servers from the platform's store. SIGTERM or SIGINT makes it drain without
+interrupting a request; a SIGINT after that ends it immediately, with 4. Its settings are reloaded on SIGHUP and whenever the
+file changes. Log lines are JSON on standard output.`
 
-// Running a gateway.
+// Parameters of the gateway command.
 const (
-	// logLines is the number of log lines that may wait to be written; more are dropped and counted, so that a slow
-	// reader of the log never holds up a request.
-	logLines = 2048
-	// logPoll is how often waiting lines are written.
-	logPoll = 20 * time.Millisecond
-	// watchFileEvery is how often the settings file is looked at: it may change without a signal, and file events are
-	// not to be had on the platform.
-	watchFileEvery = 500 * time.Millisecond
-	// gatewayGC is the growth of the heap between two collections, in percent: memory costs more here than the processor
-	// time that fewer collections would save.
-	gatewayGC = 100
+	// logBufferLines is the number of log lines that are buffered until they are written. Further lines are dropped and
+	// counted, so that a slow reader of the log never blocks a request.
+	logBufferLines = 2048
+	// logFlushInterval is the interval at which buffered lines are written.
+	logFlushInterval = 20 * time.Millisecond
+	// filePollInterval is the interval at which the settings file is checked for changes. The file may change without a
+	// signal, and file events are not available on the platform.
+	filePollInterval = 500 * time.Millisecond
+	// gcPercent is the growth of the heap between two garbage collections, in percent. It is not higher because memory
+	// costs more here than the processor time that fewer collections would save.
+	gcPercent = 100
 )
 
 type gatewayCommand struct {
@@ -47,22 +47,22 @@
 func (gatewayCommand *gatewayCommand) Execute([]string) error {
 	file, err := settings.LoadGateway(gatewayCommand.Settings)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	level, err := zerolog.ParseLevel(file.LogLevel)
 	if err != nil {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
-	debug.SetGCPercent(gatewayGC)
-	var missed int
-	writer := diode.NewWriter(gatewayCommand.streams.out, logLines, logPoll, func(count int) { missed += count })
+	debug.SetGCPercent(gcPercent)
+	var droppedLines int
+	writer := diode.NewWriter(gatewayCommand.streams.out, logBufferLines, logFlushInterval, func(count int) { droppedLines += count })
 	defer func() {
-		// What was still to be written is on its way out; nobody is left to be told of a failure.
+		// Close writes the buffered lines. A failure can't be logged any more.
 		_ = writer.Close()
 	}()
 	log := zerolog.New(writer).Level(level).With().Timestamp().Str("instance", string(file.Instance)).Logger()
 	store := platform.NewStore(file.StoreAddress)
-	started, err := gateway.New(gateway.Options{
+	instance, err := gateway.New(gateway.Options{
 		Settings: file, Log: log,
 		Platform: gateway.Platform{
 			Source: store.Source(), SetStoreAddress: store.SetAddress, Dialect: platform.NewDialect(), ReadProbe: platform.ParseProbeResponse,
@@ -72,31 +72,32 @@
 	if err != nil {
 		return err
 	}
-	for _, doubt := range file.Doubts {
-		log.Warn().Str("field", doubt.Path).Str("problem", doubt.Reason).Msg("settings not understood in part")
+	for _, warning := range file.Warnings {
+		log.Warn().Str("field", warning.Path).Str("problem", warning.Reason).Msg("field of the settings not understood")
 	}
 	log.Info().Str("callers", file.CallerAddress).Str("dataCentre", string(file.DataCentre)).Msg("started")
-	defer func() { log.Info().Int("linesDropped", missed).Msg("stopped") }()
+	defer func() { log.Info().Int("linesDropped", droppedLines).Msg("stopped") }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go gatewayCommand.watchFile(ctx, started, log)
+	go gatewayCommand.watchFile(ctx, instance, log)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	return leaver{serve: started.Serve, leave: started.Leave, forces: fromTerminal, bounded: true}.run(signals, 0)
+	return lifecycle{serve: instance.Serve, drain: instance.Leave, forcesExit: isInterrupt, bounded: true}.run(signals, 0)
 }
 
-// fromTerminal reports whether a person has asked for the end. The platform may repeat SIGTERM while an instance leaves, as when two
-// restarts overlap; it kills what takes too long by itself. Ending at once would cut off requests that have seconds left.
-func fromTerminal(signal os.Signal) bool {
+// isInterrupt reports whether the signal is SIGINT, which a person sends from a terminal. The platform may repeat SIGTERM while
+// an instance drains, for example when two restarts overlap, and it kills instances that take too long. Ending immediately on a
+// repeated SIGTERM would interrupt requests that have seconds left.
+func isInterrupt(signal os.Signal) bool {
 	return signal == syscall.SIGINT
 }
 
-// watchFile reads the settings anew when they have changed. A file that can't be right changes nothing.
-func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, started *gateway.Gateway, log zerolog.Logger) {
-	ticker := time.NewTicker(watchFileEvery)
+// watchFile reloads the settings on SIGHUP and when the file has changed. Invalid settings are logged and ignored.
+func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, instance *gateway.Gateway, log zerolog.Logger) {
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
-	before := modified(gatewayCommand.Settings)
+	before := statFile(gatewayCommand.Settings)
 	for {
 		why := "the file has changed"
 		select {
@@ -105,30 +106,30 @@
 		case <-hangup.Signals():
 			why = "signal"
 		case <-ticker.C:
-			if modified(gatewayCommand.Settings) == before {
+			if statFile(gatewayCommand.Settings) == before {
 				continue
 			}
 		}
-		before = modified(gatewayCommand.Settings)
+		before = statFile(gatewayCommand.Settings)
 		file, err := settings.LoadGateway(gatewayCommand.Settings)
 		if err == nil {
-			err = started.Reload(ctx, file)
+			err = instance.Reload(ctx, file)
 		}
 		if err != nil {
-			log.Error().Str("problem", err.Error()).Str("why", why).Msg("settings refused, the last good ones stay")
+			log.Error().Str("problem", err.Error()).Str("why", why).Msg("settings rejected, keeping the previous settings")
 			continue
 		}
 		log.Info().Str("why", why).Msg("settings read anew")
 	}
 }
 
-// fileState tells one state of a file from another.
+// fileState identifies a version of a file by its modification time and size.
 type fileState struct {
 	at   time.Time
 	size int64
 }
 
-func modified(path string) fileState {
+func statFile(path string) fileState {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) || info == nil {
 		return fileState{}
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -24,16 +24,16 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// runLine runs a command line and returns its exit code and what it wrote.
-func runLine(arguments ...string) (code int, out, err string) {
+// runCommandLine runs a command line and returns its exit code and output.
+func runCommandLine(arguments ...string) (code int, out, err string) {
 	var outBuffer, errBuffer bytes.Buffer
 	code = run(arguments, streams{out: &outBuffer, err: &errBuffer})
 	return code, outBuffer.String(), errBuffer.String()
 }
 
 func TestExitCodes(t *testing.T) {
-	wrong := filepath.Join(t.TempDir(), "wrong.json")
-	require.NoError(t, os.WriteFile(wrong, []byte(`{"revision": "one"}`), 0o600))
+	invalidPath := filepath.Join(t.TempDir(), "wrong.json")
+	require.NoError(t, os.WriteFile(invalidPath, []byte(`{"revision": "one"}`), 0o600))
 	base := "../examples/rodopa.base.json"
 	cases := []struct {
 		name      string
@@ -48,18 +48,18 @@
 		{"unknown flag", []string{"check", "--louder"}, ExitUsage, "", "louder"},
 		{"bare number for a time", []string{"try", "--for", "5"}, ExitUsage, "", "missing unit"},
 		{"check", []string{"check", "--base", base, "--overlay", "../examples/rodopa.sofia.json"}, ExitOK, "fleet.answerKept: \"5s\" -> \"3s\"", ""},
-		{"check of wrong settings", []string{"check", "--base", wrong}, ExitInvalid, "", "revision: got string, want integer"},
-		{"check of no file", []string{"check", "--base", "none.json"}, ExitFailure, "", "none.json"},
+		{"check of invalid settings", []string{"check", "--base", invalidPath}, ExitInvalid, "", "revision: got string, want integer"},
+		{"check of a missing file", []string{"check", "--base", "none.json"}, ExitFailure, "", "none.json"},
 		{"render", []string{"render", "--base", base, "--out", filepath.Join(t.TempDir(), "out")}, ExitOK, "4 of 4 documents changed", ""},
-		{"serve with wrong settings", []string{"serve", "--settings", wrong}, ExitInvalid, "", "missing propert"},
-		{"load of nothing", []string{"load"}, ExitUsage, "", "either --site or --ask"},
+		{"serve with invalid settings", []string{"serve", "--settings", invalidPath}, ExitInvalid, "", "missing propert"},
+		{"load without a source", []string{"load"}, ExitUsage, "", "either --site or --ask"},
 		{"load without a mix", []string{"load", "--ask", "127.0.0.1:1"}, ExitUsage, "", "--ask needs --mix"},
-		{"load with a wrong mix", []string{"load", "--ask", "127.0.0.1:1", "--mix", wrong}, ExitInvalid, "", "unknown field"},
-		{"status of nobody", []string{"status", "--operator", "127.0.0.1:1"}, ExitFailure, "", "ask instance 127.0.0.1:1"},
+		{"load with an invalid mix", []string{"load", "--ask", "127.0.0.1:1", "--mix", invalidPath}, ExitInvalid, "", "unknown field"},
+		{"status without an instance", []string{"status", "--operator", "127.0.0.1:1"}, ExitFailure, "", "query instance 127.0.0.1:1"},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			code, out, err := runLine(testCase.arguments...)
+			code, out, err := runCommandLine(testCase.arguments...)
 			require.Equal(t, testCase.code, code, "%s%s", out, err)
 			require.Contains(t, out, testCase.out)
 			require.Contains(t, err, testCase.err)
@@ -67,8 +67,8 @@
 	}
 }
 
-// The first signal makes an instance leave in peace, the second ends it at once, and a part that ends by itself is told. Where
-// the platform may repeat its signal, that must not cut off the callers whose requests are under way.
+// The first signal makes an instance drain, the second ends it immediately, and an error of serve is returned. Guards against a
+// SIGTERM that the platform repeats and that interrupts requests in flight.
 func TestSignals(t *testing.T) {
 	errServe := errors.New("serving ended")
 	cases := []struct {
@@ -81,8 +81,8 @@
 	}{
 		{"one signal", []os.Signal{syscall.SIGTERM}, nil, true, nil, nil},
 		{"two signals", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, nil, false, nil, errSecondSignal},
-		{"repeated by the platform", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, fromTerminal, true, nil, nil},
-		{"from a terminal", []os.Signal{syscall.SIGTERM, syscall.SIGINT}, fromTerminal, false, nil, errSecondSignal},
+		{"repeated by the platform", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, isInterrupt, true, nil, nil},
+		{"from a terminal", []os.Signal{syscall.SIGTERM, syscall.SIGINT}, isInterrupt, false, nil, errSecondSignal},
 		{"no signal", nil, nil, false, errServe, errServe},
 	}
 	for _, testCase := range cases {
@@ -91,7 +91,7 @@
 			for _, signal := range testCase.signals {
 				signals <- signal
 			}
-			err := leaver{
+			err := lifecycle{
 				serve: func(ctx context.Context) error {
 					if testCase.serve != nil {
 						return testCase.serve
@@ -99,21 +99,21 @@
 					<-ctx.Done()
 					return nil
 				},
-				leave: func(ctx context.Context) error {
+				drain: func(ctx context.Context) error {
 					if !testCase.leaves {
 						<-ctx.Done()
 					}
 					return nil
 				},
-				forces: testCase.forces,
+				forcesExit: testCase.forces,
 			}.run(signals, clock.Minute)
 			require.ErrorIs(t, err, testCase.want)
 		})
 	}
 }
 
-// answering serves one JSON value at a path, as an instance does to its operators.
-func answering(t *testing.T, path string, value any) string {
+// startJSONServer starts a server with one JSON value at a path, like the operator address of an instance.
+func startJSONServer(t *testing.T, path string, value any) string {
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
 	mux := http.NewServeMux()
@@ -124,63 +124,63 @@
 }
 
 func TestStatusIsReadable(t *testing.T) {
-	address := answering(t, operator.StatusPath, control.Status{
+	address := startJSONServer(t, operator.StatusPath, control.Status{
 		Instance: "entry-1", Ready: true, Problems: map[string]string{"site": "wrong"},
 		Peers: []control.PeerStatus{{Name: "entry-2", Suspected: true}},
 		Services: []control.ServiceStatus{{Name: "browsing", Targets: []control.TargetStatus{
 			{TargetState: service.TargetState{Name: "browsing-1", OwnInFlight: 3, Limit: 6}, Phase: "warm", Owned: true},
 		}}},
 	})
-	code, out, _ := runLine("status", "--operator", address)
+	code, out, _ := runCommandLine("status", "--operator", address)
 	require.Equal(t, ExitOK, code)
 	for _, part := range []string{"instance entry-1", "REFUSED site: wrong", "entry-2", "browsing-1", "warm"} {
 		require.Contains(t, out, part)
 	}
-	code, out, _ = runLine("status", "--json", "--operator", address)
+	code, out, _ = runCommandLine("status", "--json", "--operator", address)
 	require.Equal(t, ExitOK, code)
 	require.True(t, json.Valid([]byte(out)))
 }
 
 func TestExplainIsReadable(t *testing.T) {
-	address := answering(t, operator.ExplainPath, trace.Request{
+	address := startJSONServer(t, operator.ExplainPath, trace.Request{
 		ID: "r-1", Outcome: "answered", Attempts: []trace.Attempt{
 			{Target: "browsing-1", Considered: 20, InFlight: 2, Result: trace.ResultNoResponse, Error: "connection reset"},
 			{Target: "browsing-2", QueueWait: 12, Reused: true, Status: 200, Result: trace.ResultAnswered},
 		},
 	})
-	code, out, _ := runLine("explain", "--operator", address, "r-1")
+	code, out, _ := runCommandLine("explain", "--operator", address, "r-1")
 	require.Equal(t, ExitOK, code)
 	for _, part := range []string{
-		"of 20 targets with a free place, browsing-1", "connection reset", "waited 12.00ms until browsing-2", "a kept connection", "outcome answered",
+		"of 20 targets with a free permit, browsing-1", "connection reset", "waited 12.00ms until browsing-2", "a reused connection", "outcome answered",
 	} {
 		require.Contains(t, out, part)
 	}
 }
 
-// watched is a writer that ends a command once it has written what was waited for.
-type watched struct {
-	mutex sync.Mutex
-	text  strings.Builder
-	until string
-	end   context.CancelFunc
+// cancelingWriter cancels a context once the text that was written to it contains until.
+type cancelingWriter struct {
+	mutex  sync.Mutex
+	text   strings.Builder
+	until  string
+	cancel context.CancelFunc
 }
 
 // Write implements io.Writer.
-func (watched *watched) Write(text []byte) (int, error) {
-	watched.mutex.Lock()
-	defer watched.mutex.Unlock()
-	watched.text.Write(text)
-	if strings.Contains(watched.text.String(), watched.until) {
-		watched.end()
+func (cancelingWriter *cancelingWriter) Write(text []byte) (int, error) {
+	cancelingWriter.mutex.Lock()
+	defer cancelingWriter.mutex.Unlock()
+	cancelingWriter.text.Write(text)
+	if strings.Contains(cancelingWriter.text.String(), cancelingWriter.until) {
+		cancelingWriter.cancel()
 	}
 	return len(text), nil
 }
 
-// The main job of the README runs on stand-ins, says how to call it, and shows what happens.
+// Guards against a first example of the README that does not start, print the commands to call it, or show its progress.
 func TestTry(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	out := &watched{until: "malabon      ", end: end}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	out := &cancelingWriter{until: "malabon      ", cancel: cancel}
 	try := tryCommand{Instances: 3, Rate: 20, streams: streams{out: out, err: io.Discard}}
 	require.NoError(t, try.run(ctx))
 	for _, part := range []string{"Kalinga Gateway", "curl -i -H 'Host: slots.rodopa.example'", "jaywheel status --operator", "rodopa "} {
@@ -189,17 +189,17 @@
 }
 
 func TestAddressesCommand(t *testing.T) {
-	address := answering(t, "/jaywheel/v1/addresses", json.RawMessage(
+	address := startJSONServer(t, "/jaywheel/v1/addresses", json.RawMessage(
 		`{"service": "browsing", "keep": "5s", "revision": 3, "addresses": [{"instance": "entry-1", "address": "10.0.0.1:80", "dataCentre": "sofia-1"}]}`))
-	code, out, _ := runLine("addresses", "--instance", address, "--service", "browsing")
+	code, out, _ := runCommandLine("addresses", "--instance", address, "--service", "browsing")
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, "settings revision 3, keep for 5s")
 	require.Contains(t, out, "10.0.0.1:80")
 }
 
-func TestLoadOnStandIns(t *testing.T) {
+func TestLoadOnExampleSite(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "report")
-	code, out, err := runLine("load", "--site", "malabon", "--instances", "2", "--rate", "100", "--slice", "100ms", "--rounds", "1",
+	code, out, err := runCommandLine("load", "--site", "malabon", "--instances", "2", "--rate", "100", "--slice", "100ms", "--rounds", "1",
 		"--service-time", "0ms", "--out", directory)
 	require.Equal(t, ExitOK, code, err)
 	require.Contains(t, out, "through against direct")
--- a/cmd/render.go
+++ b/cmd/render.go
@@ -6,9 +6,9 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const renderLong = `Writes the documents to publish at the configuration service: site.json, and service/NAME.json for each
-service. A document that changed since the last rendering into the same directory must have a higher revision, or else
-nothing is written and the exit code is 3: instances would never apply it.`
+const renderLong = `Writes the documents to publish in the configuration service: site.json, and service/NAME.json for each
+service. A document that changed since the last rendering into the same directory must have a higher revision. Otherwise
+instances would ignore it, so nothing is written and the exit code is 3.`
 
 type renderCommand struct {
 	siteFlags
@@ -29,7 +29,7 @@
 	}
 	changed, err := settings.WriteDocuments(renderCommand.Out, documents)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	fmt.Fprintf(renderCommand.streams.out, "%d of %d documents changed\n", len(changed), len(documents))
 	for _, key := range changed {
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -14,81 +14,81 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-const serveLong = `Runs one entry instance until it is told to leave. SIGTERM or SIGINT makes it leave without cutting off a
-request: it goes out of address answers, serves until the answers that callers keep have lapsed, finishes what is under
-way, and exits with 0. A second signal ends it at once, with 4. Log lines are JSON on standard error.`
+const serveLong = `Runs one entry instance until it receives a signal. SIGTERM or SIGINT makes it drain without interrupting a
+request: it is removed from addresses responses, serves until the responses that callers have cached are expired, finishes
+the requests in flight, and exits with 0. A second signal ends it immediately, with 4. Log lines are JSON on standard error.`
 
 type serveCommand struct {
-	Settings  string             `long:"settings" value-name:"FILE" required:"yes" description:"The instance's own settings"`
-	Overlay   string             `long:"overlay" value-name:"FILE" description:"Overlay for the instance's settings"`
-	LeaveMost clock.Milliseconds `long:"leave-most" value-name:"TIME" default:"10m" description:"Longest time for leaving, with its unit; the rest is cut off"`
-	streams   streams
+	Settings     string             `long:"settings" value-name:"FILE" required:"yes" description:"The instance's own settings"`
+	Overlay      string             `long:"overlay" value-name:"FILE" description:"Overlay for the instance's settings"`
+	DrainTimeout clock.Milliseconds `long:"leave-most" value-name:"TIME" default:"10m" description:"Longest time for draining, with unit; then requests are interrupted"`
+	streams      streams
 }
 
-var errSecondSignal = errors.New("ended at once by a second signal")
+var errSecondSignal = errors.New("ended immediately by a second signal")
 
 // Execute implements flags.Commander.
 func (serveCommand *serveCommand) Execute([]string) error {
 	process, err := settings.LoadProcess(serveCommand.Settings, serveCommand.Overlay)
 	if err != nil {
-		return invalidCode(err)
+		return withInvalidCode(err)
 	}
 	level, err := zerolog.ParseLevel(process.LogLevel)
 	if err != nil {
-		return withCode(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
 	log := zerolog.New(serveCommand.streams.err).Level(level).With().Timestamp().Str("instance", string(process.Instance)).Logger()
-	started, err := entry.New(entry.Options{Settings: process, Log: log})
+	instance, err := entry.New(entry.Options{Settings: process, Log: log})
 	if err != nil {
 		return err
 	}
-	log.Info().Str("callers", started.CallerAddress()).Str("operators", started.OperatorAddress()).Msg("started")
+	log.Info().Str("callers", instance.CallerAddress()).Str("operators", instance.OperatorAddress()).Msg("started")
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	return serveUntil(started, signals, serveCommand.LeaveMost)
+	return serveUntilSignal(instance, signals, serveCommand.DrainTimeout)
 }
 
-// leaver is the part of an instance that serveUntil needs.
-type leaver struct {
+// lifecycle holds the functions of an instance that run until it has drained.
+type lifecycle struct {
 	serve func(context.Context) error
-	leave func(context.Context) error
-	// forces reports whether a second signal ends the process at once; nil stands for any.
-	forces func(os.Signal) bool
-	// bounded says that leave ends in time by itself.
+	drain func(context.Context) error
+	// forcesExit reports whether a second signal ends the process immediately; nil means that every signal does.
+	forcesExit func(os.Signal) bool
+	// bounded states that drain limits its own duration.
 	bounded bool
 }
 
-func serveUntil(started *entry.Entry, signals <-chan os.Signal, leaveMost clock.Milliseconds) error {
-	return leaver{serve: started.Serve, leave: started.Leave}.run(signals, leaveMost)
+func serveUntilSignal(instance *entry.Entry, signals <-chan os.Signal, drainTimeout clock.Milliseconds) error {
+	return lifecycle{serve: instance.Serve, drain: instance.Leave}.run(signals, drainTimeout)
 }
 
-// run serves until the first signal, leaves, and ends at once on the second.
-func (leaver leaver) run(signals <-chan os.Signal, leaveMost clock.Milliseconds) error {
+// run serves until the first signal, then drains. It returns immediately on a second signal that forces the exit.
+func (lifecycle lifecycle) run(signals <-chan os.Signal, drainTimeout clock.Milliseconds) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	served := make(chan error, 1)
-	go func() { served <- leaver.serve(ctx) }()
+	go func() { served <- lifecycle.serve(ctx) }()
 	select {
 	case err := <-served:
 		return err
 	case <-signals:
 	}
-	left := make(chan error, 1)
-	leaving, giveUp := ctx, func() {}
-	if !leaver.bounded {
-		leaving, giveUp = context.WithTimeout(ctx, leaveMost.Duration())
+	drained := make(chan error, 1)
+	drainCtx, cancelDrain := ctx, func() {}
+	if !lifecycle.bounded {
+		drainCtx, cancelDrain = context.WithTimeout(ctx, drainTimeout.Duration())
 	}
-	defer giveUp()
-	go func() { left <- leaver.leave(leaving) }()
+	defer cancelDrain()
+	go func() { drained <- lifecycle.drain(drainCtx) }()
 	for {
 		select {
-		case err := <-left:
+		case err := <-drained:
 			cancel()
 			return errors.CombineErrors(err, <-served)
 		case second := <-signals:
-			if leaver.forces == nil || leaver.forces(second) {
-				return withCode(ExitForced, errSecondSignal)
+			if lifecycle.forcesExit == nil || lifecycle.forcesExit(second) {
+				return withExitCode(ExitForced, errSecondSignal)
 			}
 		}
 	}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -247,7 +247,7 @@
 	if controller.site == nil || now < controller.heartbeat.nextSend && !immediately {
 		return
 	}
-	controller.heartbeat.nextSend = now.Add(controller.scaleByFleetSize(controller.site.Fleet.HeartbeatEvery))
+	controller.heartbeat.nextSend = now.Add(controller.scaleByFleetSize(controller.site.Fleet.HeartbeatInterval))
 	controller.heartbeat.sequence++
 	heartbeat := instance.Heartbeat{
 		From:        controller.options.Name,
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -101,7 +101,7 @@
 // connectionShare returns the number of connections that this instance may open to one target. It depends only on the
 // settings, so that the limit for all instances together holds even if they disagree about the fleet's members.
 func (controller *Controller) connectionShare(state *serviceState) int {
-	return max(state.settings.ConnectionsPerTarget/controller.site.Fleet.InstancesMost, 1)
+	return max(state.settings.ConnectionsPerTarget/controller.site.Fleet.MaxInstances, 1)
 }
 
 func (controller *Controller) addTarget(state *serviceState, name settings.TargetName, record platform.Instance) {
@@ -136,7 +136,7 @@
 // targetSyncDuration returns how long a peer needs to report all its targets to a new instance.
 func (controller *Controller) targetSyncDuration() clock.Milliseconds {
 	rounds := clock.Milliseconds(len(controller.list.Instances)/instance.MaxTargets + 3)
-	return controller.scaleByFleetSize(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatEvery))
+	return controller.scaleByFleetSize(max(controller.site.Fleet.SuspectAfter, rounds*controller.site.Fleet.HeartbeatInterval))
 }
 
 // updateTargets updates the ownership, warm-up and limits of a service's targets, and requests the load reports that are due.
@@ -171,7 +171,7 @@
 	switch {
 	case target.phase == phaseUnknown && now >= target.waitUntil && !(target.presentAtStart && controller.inLearningPeriod(now)):
 		controller.markCold(now, state, name, target, "no peer reported it as warm")
-	case target.phase == phaseCold && now.Since(target.warmupStart) >= state.settings.ColdStart.FullAfter:
+	case target.phase == phaseCold && now.Since(target.warmupStart) >= state.settings.ColdStart.RampUpTime:
 		target.phase = phaseWarm
 		controller.heartbeat.prioritize(target.key)
 		controller.options.Registry.Events.Add(EventTargetWarm, 1)
@@ -248,7 +248,7 @@
 		return service.TargetLimit{Limit: 1, MinShare: 1, MaxOwnInFlight: 1}
 	case target.phase == phaseCold && target.owned:
 		warmup := service.Warmup{
-			InitialLimit: state.settings.ColdStart.Places, FullLimit: state.settings.SlotsPerTarget, RampDuration: state.settings.ColdStart.FullAfter,
+			InitialLimit: state.settings.ColdStart.InitialPermits, FullLimit: state.settings.SlotsPerTarget, RampDuration: state.settings.ColdStart.RampUpTime,
 		}
 		limit := min(warmup.LimitAt(now.Since(target.warmupStart)), maxOwn)
 		return service.TargetLimit{Limit: limit, MaxOwnInFlight: limit}
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -41,7 +41,7 @@
 }
 
 func (controller *Controller) publishAddresses() {
-	book := &addressBook{ttl: min(addressTTL, controller.options.Bounds.AnswerKeptMost)}
+	book := &addressBook{ttl: min(addressTTL, controller.options.Bounds.MaxAddressTTL)}
 	for _, identity := range controller.advertised() {
 		book.addresses = append(book.addresses, identity.Caller)
 	}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -24,12 +24,12 @@
 	// A server accepts a connection within a few milliseconds; a server that is gone never does.
 	ConnectTimeout: 250 * clock.Millisecond,
 	// Servers close unused connections after 10 s.
-	IdleMost: 6 * clock.Second,
+	IdleTimeout: 6 * clock.Second,
 	// A request that must not run twice is sent only where activity was seen this recently; probes cause activity all the
 	// time.
 	FreshFor: 500 * clock.Millisecond,
 	// The kernel closes a connection whose bytes stay unacknowledged for this long.
-	SilentMost: clock.Second,
+	AckTimeout: clock.Second,
 }
 
 // refusedRetryAfter is when a caller may retry after backend servers have refused its request: permits are free there again
@@ -260,8 +260,8 @@
 	entry := &routing.Entry{Host: route.Host, Prefix: route.Prefix, Public: route.Public, Class: &routing.Class{
 		Name: route.Name,
 		Settings: settings.Class{
-			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, Aim: route.SoftDeadline, Attempts: route.Attempts,
-			BodyMost: maxBodyBytes,
+			Idempotent: route.Idempotent, Priority: route.Priority, Timeout: route.Timeout, SoftTimeout: route.SoftDeadline, Attempts: route.Attempts,
+			MaxBodySize: maxBodyBytes,
 		},
 		Metrics: controller.options.Registry.Class(key),
 	}}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -144,8 +144,8 @@
 			Size: int(gatewaySettings.Cores * millicoresPerCore),
 		},
 		Incarnation: membership.Incarnation(rand.Uint64()),
-		Seeds:       gatewaySettings.SeedAddresses(), Bounds: gatewaySettings.Bounds, FleetStarts: gatewaySettings.FleetStarts,
-		Clock: gateway.clock, BootClock: clock.NewAwake(),
+		Seeds:       gatewaySettings.SeedAddresses(), Bounds: gatewaySettings.Bounds, FleetStarts: gatewaySettings.FleetBootstrap,
+		Clock: gateway.clock, BootClock: clock.NewBootTime(),
 		Rand:    rand.New(rand.NewPCG(gateway.options.Seed, 0)),
 		Servers: gateway.servers, Registry: gateway.registry, Log: gateway.options.Log, Quota: gateway.quota,
 		Send: gateway.datagrams.Send, SetJobs: gateway.prober.Set,
@@ -168,8 +168,8 @@
 func (gateway *Gateway) makeHTTPServers() error {
 	gatewaySettings := gateway.options.Settings
 	limits := settings.Callers{
-		ConnectionsMost: int(callerConnectionShare * float64(gatewaySettings.DescriptorsMost)), HeaderMost: maxHeaderBytes, HeaderTimeout: headerTimeout,
-		IdleMost: idleTimeout, StallMost: maxStall,
+		MaxConnections: int(callerConnectionShare * float64(gatewaySettings.MaxDescriptors)), MaxHeaderSize: maxHeaderBytes, HeaderTimeout: headerTimeout,
+		IdleTimeout: idleTimeout, MaxStall: maxStall,
 	}
 	gateway.handler = caller.NewHandler(caller.Options{
 		Table: gateway.controller.Table, AwaitTable: gateway.controller.AwaitTable, Servers: gateway.servers, Registry: gateway.registry, Traces: gateway.traces,
--- a/internal/gateway/leave.go
+++ b/internal/gateway/leave.go
@@ -27,7 +27,7 @@
 // the time limit for the drain get an error response shortly before it ends. Leave returns the context's error if the drain
 // takes too long.
 func (gateway *Gateway) Leave(ctx context.Context) error {
-	maxDrain := gateway.bounds.Load().LeaveMost
+	maxDrain := gateway.bounds.Load().DrainTimeout
 	ctx, cancel := context.WithTimeout(ctx, (closeConnectionsShare * maxDrain).Duration())
 	defer cancel()
 	listenTimer := time.NewTimer((keepListeningShare * maxDrain).Duration())
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -26,7 +26,7 @@
 
 // ThroughInstances returns a Sender that sends through the instances of a site, as callers do.
 func ThroughInstances(seeds []string) Sender {
-	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, ConnectionsMost: maxIdleConnections})
+	client := jaywheelclient.New(jaywheelclient.Options{Seeds: seeds, MaxIdleConnections: maxIdleConnections})
 	return func(ctx context.Context, call *Call, number uint64) outcome.Outcome {
 		request, err := newRequest(ctx, call, call.Host, number)
 		if err != nil {
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -165,8 +165,8 @@
 	}
 	options.Name = string(target)
 	options.Slots = serviceSettings.SlotsPerTarget
-	options.ColdLimit = serviceSettings.ColdStart.Places
-	options.WarmupDuration = serviceSettings.ColdStart.FullAfter
+	options.ColdLimit = serviceSettings.ColdStart.InitialPermits
+	options.WarmupDuration = serviceSettings.ColdStart.RampUpTime
 	options.Seed = site.options.Seed + uint64(len(site.servers))
 	backendServer, err := backendservertest.Start(options)
 	if err != nil {
@@ -322,11 +322,11 @@
 // are warm after fullAfter. It is for runs that test other things than warm-up.
 func WithShortIntervals(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
 	shortened := *site
-	shortened.Fleet.HeartbeatEvery = 50 * clock.Millisecond
+	shortened.Fleet.HeartbeatInterval = 50 * clock.Millisecond
 	shortened.Fleet.SuspectAfter = 300 * clock.Millisecond
 	shortened.Services = map[settings.ServiceName]settings.Service{}
 	for name, service := range site.Services {
-		service.ColdStart.FullAfter = fullAfter
+		service.ColdStart.RampUpTime = fullAfter
 		shortened.Services[name] = service
 	}
 	return &shortened
--- a/pkg/settings/bytes.go
+++ b/pkg/settings/bytes.go
@@ -7,25 +7,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSize is returned for a size that can't be read.
-var ErrSize = errors.New(`a size is a whole number with B, KiB, MiB or GiB, such as "64KiB"`)
+// ErrInvalidSize is returned for a size that can't be parsed.
+var ErrInvalidSize = errors.New(`a size is a whole number with B, KiB, MiB or GiB, such as "64KiB"`)
 
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// MarshalText implements encoding.TextMarshaler, with the largest unit that leaves a whole number.
+// MarshalText implements encoding.TextMarshaler. It uses the largest unit in which the size is a whole number.
 func (bytes Bytes) MarshalText() ([]byte, error) {
 	for _, unit := range sizeUnits {
 		if int64(bytes)%unit.bytes == 0 {
 			return []byte(strconv.FormatInt(int64(bytes)/unit.bytes, 10) + unit.suffix), nil
 		}
 	}
-	return nil, ErrSize
+	return nil, ErrInvalidSize
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a whole number with its unit, such as "64KiB", and returns
+// ErrInvalidSize for any other text.
 func (bytes *Bytes) UnmarshalText(text []byte) error {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(string(text), unit.suffix)
@@ -34,10 +35,10 @@
 		}
 		number, err := strconv.ParseInt(digits, 10, 64)
 		if err != nil || number < 0 || number > (1<<62)/unit.bytes {
-			return errors.Wrapf(ErrSize, "%s", strconv.Quote(string(text)))
+			return errors.Wrapf(ErrInvalidSize, "%s", strconv.Quote(string(text)))
 		}
 		*bytes = Bytes(number * unit.bytes)
 		return nil
 	}
-	return errors.Wrapf(ErrSize, "%s", strconv.Quote(string(text)))
+	return errors.Wrapf(ErrInvalidSize, "%s", strconv.Quote(string(text)))
 }
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -11,13 +11,13 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// ReservedPath is the path under which an instance answers for itself; no service may claim it.
+// ReservedPath is the path prefix of an instance's own endpoints; no service may use it.
 const ReservedPath = "/jaywheel/"
 
-// keyBytes is the length of a key that seals datagrams.
+// keyBytes is the length of a key that encrypts datagrams, in bytes.
 const keyBytes = 32
 
-// checker collects problems of one file.
+// checker collects the problems of one file.
 type checker struct {
 	file     string
 	problems []Problem
@@ -27,29 +27,29 @@
 	checker.problems = append(checker.problems, Problem{File: checker.file, Path: path, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-func (checker *checker) positive(path string, length clock.Milliseconds) {
+func (checker *checker) requirePositive(path string, length clock.Milliseconds) {
 	if length <= 0 {
-		checker.add(path, "must be longer than nothing")
+		checker.add(path, "must be longer than 0")
 	}
 }
 
-func (checker *checker) address(path, address string) {
+func (checker *checker) requireAddress(path, address string) {
 	addressPort, err := netip.ParseAddrPort(address)
 	if err != nil {
-		checker.add(path, "is no IP number with a port: %q", address)
+		checker.add(path, "is not an IP address with a port: %q", address)
 		return
 	}
 	if addressPort.Addr().Zone() != "" {
-		checker.add(path, "must carry no zone: %q", address)
+		checker.add(path, "must not have a zone: %q", address)
 	}
 }
 
-// sortedKeys makes the order of problems the same in every run.
+// sortedKeys returns the keys in sorted order, so that problems have the same order in every run.
 func sortedKeys[K ~string, V any](entries map[K]V) []K {
 	return slices.Sorted(maps.Keys(entries))
 }
 
-// check finds everything that the shape alone can't tell, in the site and all its services.
+// check validates what the JSON Schema can't express, for the site and all its services.
 func (site *Site) check(file string) []Problem {
 	problems := site.checkSite(file)
 	if len(site.ServiceNames) > 0 {
@@ -61,20 +61,20 @@
 		problems = append(problems, service.check(file, path)...)
 		problems = append(problems, service.CheckAgainst(site, file, path)...)
 	}
-	return append(problems, CheckClaims(site.Services, file)...)
+	return append(problems, CheckRouteConflicts(site.Services, file)...)
 }
 
 func (site *Site) checkSite(file string) []Problem {
 	checker := &checker{file: file}
 	fleet := site.Fleet
-	if fleet.InstancesPerService > fleet.InstancesMost {
-		checker.add("fleet.instancesPerService", "%d is more than fleet.instancesMost, %d", fleet.InstancesPerService, fleet.InstancesMost)
+	if fleet.InstancesPerService > fleet.MaxInstances {
+		checker.add("fleet.instancesPerService", "%d is more than fleet.instancesMost, %d", fleet.InstancesPerService, fleet.MaxInstances)
 	}
-	checker.positive("fleet.answerKept", fleet.AnswerKept)
-	checker.positive("fleet.heartbeatEvery", fleet.HeartbeatEvery)
-	if fleet.SuspectAfter < 3*fleet.HeartbeatEvery {
+	checker.requirePositive("fleet.answerKept", fleet.AddressTTL)
+	checker.requirePositive("fleet.heartbeatEvery", fleet.HeartbeatInterval)
+	if fleet.SuspectAfter < 3*fleet.HeartbeatInterval {
 		checker.add("fleet.suspectAfter", "%s is less than three heartbeats of %s; one lost datagram would look like a failure",
-			fleet.SuspectAfter, fleet.HeartbeatEvery)
+			fleet.SuspectAfter, fleet.HeartbeatInterval)
 	}
 	if !slices.ContainsFunc(slices.Collect(maps.Values(site.DataCentres)), func(dataCentre DataCentre) bool { return dataCentre.State == DataCentreIn }) {
 		checker.add("dataCentres", "every data centre is out")
@@ -82,12 +82,13 @@
 	return checker.problems
 }
 
-// CheckAgainst finds what does not fit between a service and the site it belongs to.
+// CheckAgainst returns the conflicts between the service and the site that it belongs to. The problems carry file, and
+// path as the prefix of the field.
 func (service *Service) CheckAgainst(site *Site, file, path string) []Problem {
 	checker := &checker{file: file}
-	if service.ConnectionsPerTarget < site.Fleet.InstancesMost {
+	if service.ConnectionsPerTarget < site.Fleet.MaxInstances {
 		checker.add(join(path, "connectionsPerTarget"), "%d does not give each of fleet.instancesMost, %d, one connection",
-			service.ConnectionsPerTarget, site.Fleet.InstancesMost)
+			service.ConnectionsPerTarget, site.Fleet.MaxInstances)
 	}
 	return checker.problems
 }
@@ -96,53 +97,53 @@
 	checker := &checker{file: file}
 	for index, host := range service.Hosts {
 		if host == "" || strings.ContainsAny(host, ":/ ") || host != strings.ToLower(host) {
-			checker.add(join(path, fmt.Sprintf("hosts.%d", index)), "is no host name in lower case without a port: %q", host)
+			checker.add(join(path, fmt.Sprintf("hosts.%d", index)), "is not a host name in lower case without a port: %q", host)
 		}
 	}
 	if strings.HasPrefix(service.PathPrefix, ReservedPath) {
 		checker.add(join(path, "pathPrefix"), "%s is reserved", ReservedPath)
 	}
-	checker.positive(join(path, "queue.wait"), service.Queue.Wait)
-	checker.positive(join(path, "connections.connectTimeout"), service.Connections.ConnectTimeout)
-	checker.positive(join(path, "connections.silentMost"), service.Connections.SilentMost)
-	if service.ColdStart.Places > service.SlotsPerTarget {
-		checker.add(join(path, "coldStart.places"), "%d is more than slotsPerTarget, %d", service.ColdStart.Places, service.SlotsPerTarget)
+	checker.requirePositive(join(path, "queue.wait"), service.Queue.Wait)
+	checker.requirePositive(join(path, "connections.connectTimeout"), service.Connections.ConnectTimeout)
+	checker.requirePositive(join(path, "connections.silentMost"), service.Connections.AckTimeout)
+	if service.ColdStart.InitialPermits > service.SlotsPerTarget {
+		checker.add(join(path, "coldStart.places"), "%d is more than slotsPerTarget, %d", service.ColdStart.InitialPermits, service.SlotsPerTarget)
 	}
 	for _, name := range sortedKeys(service.Classes) {
 		class := service.Classes[name]
 		class.check(checker, join(path, "classes."+string(name)), service.PathPrefix)
 	}
-	service.checkOverlap(checker, join(path, "classes"))
+	service.checkClassConflicts(checker, join(path, "classes"))
 	return checker.problems
 }
 
 func (class *Class) check(checker *checker, path, servicePrefix string) {
 	for index, method := range class.Methods {
 		if method == "" || method != strings.ToUpper(method) {
-			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "is no HTTP method in capitals: %q", method)
+			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "is not an HTTP method in upper case: %q", method)
 		}
 		if method == "CONNECT" {
-			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "CONNECT opens tunnels, which are not offered")
+			checker.add(fmt.Sprintf("%s.methods.%d", path, index), "CONNECT is not supported, because it opens a tunnel")
 		}
 	}
 	for index, prefix := range class.Paths {
 		if !strings.HasPrefix(prefix, servicePrefix) {
-			checker.add(fmt.Sprintf("%s.paths.%d", path, index), "%q does not lie below pathPrefix, %q", prefix, servicePrefix)
+			checker.add(fmt.Sprintf("%s.paths.%d", path, index), "%q is not below pathPrefix, %q", prefix, servicePrefix)
 		}
 	}
-	checker.positive(join(path, "timeout"), class.Timeout)
+	checker.requirePositive(join(path, "timeout"), class.Timeout)
 }
 
-// checkOverlap finds two classes that claim the same method below the same path, between which no rule decides.
-func (service *Service) checkOverlap(checker *checker, path string) {
+// checkClassConflicts finds classes with the same method and path prefix, for which the class of a request is ambiguous.
+func (service *Service) checkClassConflicts(checker *checker, path string) {
 	type claim struct{ method, prefix string }
 	claimed := map[claim]ClassName{}
 	for _, name := range sortedKeys(service.Classes) {
 		for _, method := range service.Classes[name].Methods {
 			for _, prefix := range service.Classes[name].Paths {
-				other, taken := claimed[claim{method, prefix}]
-				if taken && other != name {
-					checker.add(join(path, string(name)), "claims %s %s, as %s does", method, prefix, other)
+				other, used := claimed[claim{method, prefix}]
+				if used && other != name {
+					checker.add(join(path, string(name)), "%s %s is already used by class %s", method, prefix, other)
 				}
 				claimed[claim{method, prefix}] = name
 			}
@@ -150,17 +151,18 @@
 	}
 }
 
-// CheckClaims finds two services that claim the same host and path, between which no rule decides.
-func CheckClaims(services map[ServiceName]Service, file string) []Problem {
+// CheckRouteConflicts returns a problem for each host and path prefix that two services have in common, for which the
+// service of a request is ambiguous. The problems carry file.
+func CheckRouteConflicts(services map[ServiceName]Service, file string) []Problem {
 	type claim struct{ host, prefix string }
 	checker := &checker{file: file}
 	claimed := map[claim]ServiceName{}
 	for _, name := range sortedKeys(services) {
 		service := services[name]
 		for _, host := range service.Hosts {
-			other, taken := claimed[claim{host, service.PathPrefix}]
-			if taken {
-				checker.add("services."+string(name)+".hosts", "claims %s%s, as %s does", host, service.PathPrefix, other)
+			other, used := claimed[claim{host, service.PathPrefix}]
+			if used {
+				checker.add("services."+string(name)+".hosts", "%s%s is already used by service %s", host, service.PathPrefix, other)
 			}
 			claimed[claim{host, service.PathPrefix}] = name
 		}
@@ -170,14 +172,14 @@
 
 func (process *Process) check(file string) []Problem {
 	checker := &checker{file: file}
-	checker.address("callerAddress", process.CallerAddress)
-	checker.address("peerAddress", process.PeerAddress)
-	checker.address("operatorAddress", process.OperatorAddress)
-	checker.address("platform.configurationAddress", process.Platform.ConfigurationAddress)
-	checker.address("platform.instancesAddress", process.Platform.InstancesAddress)
-	checker.positive("platform.timeout", process.Platform.Timeout)
-	checker.positive("callers.headerTimeout", process.Callers.HeaderTimeout)
-	checker.positive("callers.stallMost", process.Callers.StallMost)
+	checker.requireAddress("callerAddress", process.CallerAddress)
+	checker.requireAddress("peerAddress", process.PeerAddress)
+	checker.requireAddress("operatorAddress", process.OperatorAddress)
+	checker.requireAddress("platform.configurationAddress", process.Platform.ConfigurationAddress)
+	checker.requireAddress("platform.instancesAddress", process.Platform.InstancesAddress)
+	checker.requirePositive("platform.timeout", process.Platform.Timeout)
+	checker.requirePositive("callers.headerTimeout", process.Callers.HeaderTimeout)
+	checker.requirePositive("callers.stallMost", process.Callers.MaxStall)
 	if _, known := process.Keys.Known[process.Keys.SealWith]; !known {
 		checker.add("keys.sealWith", "%q is not among keys.known", process.Keys.SealWith)
 	}
--- a/pkg/settings/schema.go
+++ b/pkg/settings/schema.go
@@ -14,22 +14,23 @@
 	"golang.org/x/text/message"
 )
 
-// SiteSchema is the JSON Schema of a site's settings, for editors; a test keeps it equal to the Go types.
+// SiteSchema is the JSON Schema of a site's settings, which editors can use as well. A test keeps it equal to the Go types.
 //
 //go:embed site.schema.json
 var SiteSchema []byte
 
-// ProcessSchema is the JSON Schema of an instance's own settings.
+// ProcessSchema is the JSON Schema of an instance's own settings, the type Process.
 //
 //go:embed process.schema.json
 var ProcessSchema []byte
 
-// GatewaySchema is the JSON Schema of an instance's own settings where a platform's store tells the rest.
+// GatewaySchema is the JSON Schema of an instance's own settings on a platform whose store holds all other configuration,
+// the type Gateway.
 //
 //go:embed gateway.schema.json
 var GatewaySchema []byte
 
-// The definitions within the schemas against which documents are checked.
+// Definitions in the schemas against which documents are validated.
 const (
 	siteDefinition    = "site.schema.json#/$defs/Site"
 	serviceDefinition = "site.schema.json#/$defs/Service"
@@ -37,17 +38,17 @@
 	gatewayDefinition = "gateway.schema.json#/$defs/Gateway"
 )
 
-// definitions are the schemas' parts against which documents are checked, each compiled when it is first needed. An instance
-// that starts checks one of them; on a third of a core, compiling all took 33 of the 41 ms until it listened. The schemas
-// are embedded and tested, so a failure to read them is a defect of the build.
+// definitions holds the definitions against which documents are validated, each compiled on first use. An instance uses
+// only one of them at its start; on a third of a core, compiling all of them took 33 of the 41 ms until it listened. The
+// schemas are embedded and tested, so a failure to compile them is a defect of the build.
 var definitions = map[string]func() *jsonschema.Schema{
-	siteDefinition:    compiled(siteDefinition, SiteSchema),
-	serviceDefinition: compiled(serviceDefinition, SiteSchema),
-	processDefinition: compiled(processDefinition, ProcessSchema),
-	gatewayDefinition: compiled(gatewayDefinition, GatewaySchema),
+	siteDefinition:    compileOnce(siteDefinition, SiteSchema),
+	serviceDefinition: compileOnce(serviceDefinition, SiteSchema),
+	processDefinition: compileOnce(processDefinition, ProcessSchema),
+	gatewayDefinition: compileOnce(gatewayDefinition, GatewaySchema),
 }
 
-func compiled(definition string, text []byte) func() *jsonschema.Schema {
+func compileOnce(definition string, text []byte) func() *jsonschema.Schema {
 	return sync.OnceValue(func() *jsonschema.Schema {
 		parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 		if err != nil {
@@ -62,8 +63,8 @@
 	})
 }
 
-// checkShape compares a document with a definition and reports every deviation at once.
-func checkShape(definition, name string, text []byte) []Problem {
+// validateSchema validates a document against a definition and returns all problems, sorted by path.
+func validateSchema(definition, name string, text []byte) []Problem {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
 		return []Problem{{File: name, Reason: err.Error()}}
@@ -73,16 +74,16 @@
 	if !isValidationError {
 		return nil
 	}
-	problems := leaves(name, validationError)
+	problems := leafProblems(name, validationError)
 	slices.SortFunc(problems, func(left, right Problem) int { return strings.Compare(left.Path, right.Path) })
 	return problems
 }
 
-func leaves(name string, validationError *jsonschema.ValidationError) []Problem {
+func leafProblems(name string, validationError *jsonschema.ValidationError) []Problem {
 	if len(validationError.Causes) > 0 {
 		var problems []Problem
 		for _, cause := range validationError.Causes {
-			problems = append(problems, leaves(name, cause)...)
+			problems = append(problems, leafProblems(name, cause)...)
 		}
 		return problems
 	}
@@ -98,12 +99,12 @@
 	problems := make([]Problem, 0, len(fields))
 	for _, field := range fields {
 		path := strings.Join(append(location[:len(location):len(location)], field), ".")
-		problems = append(problems, Problem{File: name, Path: path, Reason: "no such field"})
+		problems = append(problems, Problem{File: name, Path: path, Reason: "unknown field"})
 	}
 	return problems
 }
 
-// decode reads a document whose shape has been checked.
+// decode unmarshals a document that has been validated against its schema.
 func decode(name string, text []byte, into any) []Problem {
 	if err := json.Unmarshal(text, into); err != nil {
 		return []Problem{{File: name, Reason: err.Error()}}
--- /dev/null
+++ b/pkg/settings/text_fields.go
@@ -0,0 +1,141 @@
+package settings
+
+import (
+	"encoding/json"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// fieldKind is the type of a field in a settings file.
+type fieldKind int
+
+const (
+	numberField fieldKind = iota
+	integerField
+	durationField
+	booleanField
+)
+
+// textField is a field that a deployment template may fill in as text. The text may be empty or have another format than
+// the field, since the platform decides, for example, whether a bound is a whole number.
+type textField struct {
+	section, name    string
+	kind             fieldKind
+	minimum, maximum float64
+}
+
+// Limits of the values that a platform may fill in. A value outside them is clamped.
+const (
+	maxCores       = 1024
+	maxDescriptors = 1 << 24
+	maxCount       = 1 << 30
+	maxShare       = 1
+	maxRatio       = 10
+	maxProbes      = 1e4
+	maxSeconds     = 3600
+	// minPositive is the minimum of fields that must be greater than 0.
+	minPositive = 1e-3
+)
+
+// gatewayTextFields lists the fields of a Gateway that may be given as text.
+var gatewayTextFields = []textField{
+	{"", "cores", numberField, minPositive, maxCores},
+	{"", "descriptorsMost", integerField, 64, maxDescriptors},
+	{"", "fleetStarts", booleanField, 0, 0},
+	{"bounds", "leaveMost", durationField, minPositive, maxSeconds},
+	{"bounds", "answerKeptMost", durationField, minPositive, maxSeconds},
+	{"bounds", "retryShare", numberField, 0, maxShare},
+	{"bounds", "retrySlack", integerField, 0, maxCount},
+	{"bounds", "probesPerSecond", numberField, minPositive, maxProbes},
+	{"bounds", "quotaWindow", durationField, minPositive, maxSeconds},
+	{"bounds", "quotaOver", numberField, 0, maxRatio},
+	{"bounds", "quotaSlack", numberField, 0, maxCount},
+	{"bounds", "failClosed", booleanField, 0, 0},
+	{"bounds", "revokeWithin", durationField, minPositive, maxSeconds},
+}
+
+// normalizeTextFields converts fields that the file contains as text to the type that the schema requires. A field that is
+// empty or not understood is removed, so that its default applies: an instance that refuses to start because of the format
+// of a number would serve no caller. Fields that are not text are left unchanged for the schema to validate. The returned
+// problems list the fields that were not understood.
+func normalizeTextFields(file string, text []byte) ([]byte, []Problem) {
+	var root map[string]any
+	if json.Unmarshal(text, &root) != nil {
+		return text, nil
+	}
+	var warnings []Problem
+	changed := false
+	for _, textField := range gatewayTextFields {
+		section := root
+		if textField.section != "" {
+			section, _ = root[textField.section].(map[string]any)
+		}
+		given, isText := section[textField.name].(string)
+		if !isText {
+			continue
+		}
+		value, understood := textField.parse(given)
+		switch {
+		case understood:
+			section[textField.name] = value
+		default:
+			delete(section, textField.name)
+		}
+		changed = true
+		if !understood && !textField.empty(given) {
+			warnings = append(warnings, Problem{File: file, Path: textField.path(), Reason: "not understood, using the default: " + strconv.Quote(given)})
+		}
+	}
+	if !changed {
+		return text, nil
+	}
+	normalized, err := json.Marshal(root)
+	if err != nil {
+		return text, warnings
+	}
+	return normalized, warnings
+}
+
+func (textField textField) path() string {
+	return strings.TrimPrefix(textField.section+"."+textField.name, ".")
+}
+
+// empty reports whether the template filled in no value, or only the unit.
+func (textField textField) empty(given string) bool {
+	given = strings.TrimSpace(given)
+	return given == "" || textField.kind == durationField && given == "s"
+}
+
+// parse converts the text to the type of the field and reports whether it was understood.
+func (textField textField) parse(given string) (any, bool) {
+	given = strings.TrimSpace(given)
+	if textField.kind == booleanField {
+		value, err := strconv.ParseBool(strings.ToLower(given))
+		return value, err == nil
+	}
+	if textField.kind == durationField {
+		if length, err := time.ParseDuration(given); err == nil && length > 0 || !strings.HasSuffix(given, "s") {
+			// The schema validates texts with another unit.
+			return given, true
+		}
+		given = strings.TrimSuffix(given, "s")
+	}
+	number, err := strconv.ParseFloat(given, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		return nil, false
+	}
+	if textField.kind == durationField && number <= 0 {
+		return nil, false
+	}
+	number = min(max(number, textField.minimum), textField.maximum)
+	switch textField.kind {
+	case integerField:
+		return math.Floor(number), true
+	case durationField:
+		return strconv.FormatFloat(number, 'f', -1, 64) + "s", true
+	default:
+		return number, true
+	}
+}
