--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -67,7 +67,8 @@
 		}
 		fmt.Fprintln(out)
 	}
-	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n", requestTrace.Outcome, requestTrace.Reason, requestTrace.Status, formatMilliseconds(requestTrace.Duration))
+	fmt.Fprintf(out, "outcome %s, reason %s, status %d, after %s\n",
+		requestTrace.Outcome, requestTrace.Reason, requestTrace.Status, formatMilliseconds(requestTrace.Duration))
 	if requestTrace.Error != "" {
 		fmt.Fprintf(out, "error: %s\n", requestTrace.Error)
 	}
