--- a/pkg/jaywheelclient/client.go
+++ b/pkg/jaywheelclient/client.go
@@ -77,10 +77,10 @@
 		MaxIdleConnsPerHost: options.MaxIdleConnections,
 		DisableCompression:  true,
 	}
-	rejectRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	returnRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
 		options: options,
-		http:    &http.Client{Transport: transport, CheckRedirect: rejectRedirects},
+		http:    &http.Client{Transport: transport, CheckRedirect: returnRedirects},
 		cache:   map[settings.ServiceName]*addressList{},
 	}
 }
--- a/pkg/settings/gateway.go
+++ b/pkg/settings/gateway.go
@@ -13,13 +13,15 @@
 type Gateway struct {
 	// Instance is the name of the instance.
 	Instance InstanceName `json:"instance" jsonschema:"minLength=1"`
-	// DataCentre is the data centre in which the instance runs, Region the region of the data centre.
+	// DataCentre is the data centre in which the instance runs.
 	DataCentre DataCentreName `json:"dataCentre" jsonschema:"minLength=1"`
-	Region     RegionName     `json:"region,omitempty"`
-	// CallerAddress accepts requests of callers, ReadyAddress serves the platform's readiness check, and DirectoryAddress
-	// serves the list of instances that callers use. Each is an IP address and port.
-	CallerAddress    string `json:"callerAddress" jsonschema:"minLength=1"`
-	ReadyAddress     string `json:"readyAddress" jsonschema:"minLength=1"`
+	// Region is the region of the data centre.
+	Region RegionName `json:"region,omitempty"`
+	// CallerAddress is the IP address and port to which callers connect.
+	CallerAddress string `json:"callerAddress" jsonschema:"minLength=1"`
+	// ReadyAddress is the IP address and port that serves the platform's readiness check.
+	ReadyAddress string `json:"readyAddress" jsonschema:"minLength=1"`
+	// DirectoryAddress is the IP address and port that serves the list of instances that callers use.
 	DirectoryAddress string `json:"directoryAddress" jsonschema:"minLength=1"`
 	// PeerAddress is the IP address and port for datagrams (UDP) and requests (TCP) of other instances. All instances use
 	// the same port number.
@@ -33,10 +35,10 @@
 	// Cores is the number of processor cores of the instance, which may be a fraction. Instances with more cores are
 	// preferred for serving.
 	Cores float64 `json:"cores,omitempty" jsonschema:"exclusiveMinimum=0,default=1"`
-	// MaxDescriptors is the number of file descriptors that the process may use.
+	// MaxDescriptors (descriptorsMost) is the number of file descriptors that the process may use.
 	MaxDescriptors int `json:"descriptorsMost,omitempty" jsonschema:"minimum=64,default=4096"`
-	// FleetBootstrap states that all instances of the fleet start for the first time, so that no caller waits for this
-	// instance yet.
+	// FleetBootstrap (fleetStarts) states that all instances of the fleet start for the first time, so that no caller waits for
+	// this instance yet.
 	FleetBootstrap bool `json:"fleetStarts,omitempty"`
 	// Bounds holds the limits agreed with the platform.
 	Bounds GatewayBounds `json:"bounds,omitzero"`
@@ -48,27 +50,29 @@
 
 // GatewayBounds are the limits agreed with the platform.
 type GatewayBounds struct {
-	// DrainTimeout is how long the process may run after the signal to drain.
+	// DrainTimeout (leaveMost) is how long the process may run after the signal to drain.
 	DrainTimeout clock.Milliseconds `json:"leaveMost,omitempty" jsonschema:"default=6s"`
-	// MaxAddressTTL is the longest time for which callers cache an addresses response.
+	// MaxAddressTTL (answerKeptMost) is the longest time for which callers may cache an addresses response.
 	MaxAddressTTL clock.Milliseconds `json:"answerKeptMost,omitempty" jsonschema:"default=5s"`
 	// RetryShare is the fraction of a service's requests that may be retried, over the whole fleet.
 	RetryShare float64 `json:"retryShare,omitempty" jsonschema:"minimum=0,maximum=1,default=0.2"`
-	// RetrySlack is the number of requests of a service that may be retried in addition to RetryShare, over the whole fleet
+	// RetrySlack is the number of requests of a service that may be retried in addition to retryShare, over the whole fleet
 	// and in any window of the length agreed with the platform.
 	RetrySlack int `json:"retrySlack,omitempty" jsonschema:"minimum=0,default=40"`
 	// ProbesPerSecond is how often one target may be probed by all instances of the fleet together.
 	ProbesPerSecond float64 `json:"probesPerSecond,omitempty" jsonschema:"exclusiveMinimum=0,default=60"`
 	// QuotaWindow is the length of the window in which a team's requests are counted against its rate limit.
 	QuotaWindow clock.Milliseconds `json:"quotaWindow,omitempty" jsonschema:"default=5s"`
-	// QuotaOver is the fraction of its limit by which a team may exceed the limit within a window, QuotaSlack the number of
-	// requests in addition to that, both over the whole fleet.
-	QuotaOver  float64 `json:"quotaOver,omitempty" jsonschema:"minimum=0,maximum=10,default=0.25"`
+	// QuotaOver is the fraction of its limit by which a team may exceed the limit within a window, over the whole fleet.
+	QuotaOver float64 `json:"quotaOver,omitempty" jsonschema:"minimum=0,maximum=10,default=0.25"`
+	// QuotaSlack is the number of requests by which a team may exceed its limit within a window in addition to quotaOver, over
+	// the whole fleet.
 	QuotaSlack float64 `json:"quotaSlack,omitempty" jsonschema:"minimum=0,default=20"`
 	// FailClosed states that requests that require an API key are rejected, with outcome notRun, once the instance has had no
-	// contact with the store, neither directly nor through other instances, for RevokeWithin, since the key may have been
-	// revoked in the meantime. Without FailClosed the last configuration stays in force.
-	FailClosed   bool               `json:"failClosed,omitempty"`
+	// contact with the store, neither directly nor through other instances, for the time revokeWithin, since the key may have
+	// been revoked in the meantime. Without failClosed the last configuration stays in force.
+	FailClosed bool `json:"failClosed,omitempty"`
+	// RevokeWithin is the time without contact with the store after which failClosed takes effect.
 	RevokeWithin clock.Milliseconds `json:"revokeWithin,omitempty" jsonschema:"default=5s"`
 }
 
@@ -126,7 +130,7 @@
 	return problems
 }
 
-// PeerPort returns the port number that all instances use for messages of their peers.
+// PeerPort returns the port number that all instances use for datagrams and requests of their peers.
 func (gateway *Gateway) PeerPort() uint16 {
 	return netip.MustParseAddrPort(gateway.PeerAddress).Port()
 }
--- a/pkg/settings/types.go
+++ b/pkg/settings/types.go
@@ -55,8 +55,9 @@
 	Fleet Fleet `json:"fleet"`
 	// Measuring limits the load that monitoring adds to backend servers.
 	Measuring Measuring `json:"measuring,omitzero"`
-	// ServiceNames lists the services in force; rendering fills it in. A service document that is not listed here is
-	// ignored, and a listed service stays in force while its document is temporarily missing.
+	// ServiceNames lists the services of the site in the published document; rendering fills it in. The document of a service
+	// that is not listed here is not put in force. A service in force is removed only when a newer site document no longer
+	// lists it, so it stays in force while its own document is temporarily missing.
 	ServiceNames []ServiceName `json:"serviceNames,omitempty"`
 	// Services holds the services of the site by name.
 	Services map[ServiceName]Service `json:"services,omitempty"`
@@ -72,19 +73,19 @@
 
 // Fleet configures how entry instances divide the load.
 type Fleet struct {
-	// MaxInstances is the largest number of entry instances that run at the same time, including instances that are
+	// MaxInstances (instancesMost) is the largest number of entry instances that run at the same time, including instances that are
 	// being replaced. Each may open an equal share of a target's connections, so the fleet stays within
 	// connectionsPerTarget without coordination.
 	MaxInstances int `json:"instancesMost" jsonschema:"minimum=1,maximum=1000"`
 	// InstancesPerService is the number of instances that an addresses response lists for one service.
 	InstancesPerService int `json:"instancesPerService,omitempty" jsonschema:"minimum=1,default=3"`
-	// AddressTTL is how long callers may cache an addresses response.
+	// AddressTTL (answerKept) is how long callers may cache an addresses response.
 	AddressTTL clock.Milliseconds `json:"answerKept,omitempty" jsonschema:"default=5s"`
-	// HeartbeatInterval is the time between two datagrams to the same peer. With more than 14 peers it grows with their
-	// number, so that the cost for an instance stays constant.
+	// HeartbeatInterval (heartbeatEvery) is the time between two datagrams to the same peer. With more than 14 peers it grows
+	// with their number, so that the cost for an instance stays constant.
 	HeartbeatInterval clock.Milliseconds `json:"heartbeatEvery,omitempty" jsonschema:"default=300ms"`
 	// SuspectAfter is the time without a datagram from a peer after which the peer is omitted from addresses responses. It
-	// grows with the number of peers in the same way.
+	// grows with the number of peers in the same way as heartbeatEvery.
 	SuspectAfter clock.Milliseconds `json:"suspectAfter,omitempty" jsonschema:"default=1s"`
 }
 
@@ -134,11 +135,11 @@
 	Priority Priority `json:"priority" jsonschema:"minimum=0,maximum=7"`
 	// Timeout is the time limit of a request unless its caller sets a shorter one.
 	Timeout clock.Milliseconds `json:"timeout"`
-	// SoftTimeout is the time within which a response is worth most to the caller; 0 means that only the timeout counts.
+	// SoftTimeout (aim) is the time within which a response is worth most to the caller; 0 means that only the timeout counts.
 	SoftTimeout clock.Milliseconds `json:"aim,omitempty"`
 	// Attempts is the largest number of attempts of one request; 0 uses the service's retry.attempts.
 	Attempts int `json:"attempts,omitempty" jsonschema:"minimum=0,maximum=10"`
-	// MaxBodySize is the largest size of a request body.
+	// MaxBodySize (bodyMost) is the largest size of a request body.
 	MaxBodySize Bytes `json:"bodyMost,omitempty" jsonschema:"default=1MiB"`
 }
 
@@ -154,9 +155,9 @@
 
 // ColdStart configures how load on a newly started backend server is ramped up.
 type ColdStart struct {
-	// InitialPermits is the number of permits of the backend server at first, over the whole fleet.
+	// InitialPermits (places) is the number of permits of the backend server at first, over the whole fleet.
 	InitialPermits int `json:"places,omitempty" jsonschema:"minimum=1,default=1"`
-	// RampUpTime is the time after which the backend server has as many permits as slots.
+	// RampUpTime (fullAfter) is the time after which the backend server has as many permits as slots.
 	RampUpTime clock.Milliseconds `json:"fullAfter,omitempty" jsonschema:"default=10s"`
 }
 
@@ -175,12 +176,12 @@
 type Connections struct {
 	// ConnectTimeout is the time limit for opening a connection.
 	ConnectTimeout clock.Milliseconds `json:"connectTimeout,omitempty" jsonschema:"default=500ms"`
-	// IdleTimeout is how long an idle connection is kept open.
+	// IdleTimeout (idleMost) is how long an idle connection is kept open.
 	IdleTimeout clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=30s"`
 	// FreshFor is how long after its last byte a connection is assumed to be alive. A request that is not idempotent
 	// is never sent on an older connection.
 	FreshFor clock.Milliseconds `json:"freshFor,omitempty" jsonschema:"default=1s"`
-	// AckTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
+	// AckTimeout (silentMost) is how long sent bytes may stay unacknowledged before the connection is closed.
 	AckTimeout clock.Milliseconds `json:"silentMost,omitempty" jsonschema:"default=1s"`
 }
 
@@ -214,7 +215,7 @@
 	InstancesAddress string `json:"instancesAddress" jsonschema:"minLength=1"`
 	// Timeout is the time limit of one read; for a watch, the time that it waits for a change is added.
 	Timeout clock.Milliseconds `json:"timeout,omitempty" jsonschema:"default=1s"`
-	// WatchTimeout is how long a watch waits for a change.
+	// WatchTimeout (watchMost) is how long a watch waits for a change.
 	WatchTimeout clock.Milliseconds `json:"watchMost,omitempty" jsonschema:"default=10s"`
 }
 
@@ -228,14 +229,14 @@
 
 // Callers limits the resources of an instance that callers may use.
 type Callers struct {
-	// MaxConnections is the largest number of open connections from callers.
+	// MaxConnections (connectionsMost) is the largest number of open connections from callers.
 	MaxConnections int `json:"connectionsMost,omitempty" jsonschema:"minimum=1,default=10000"`
-	// MaxHeaderSize is the largest size of a request head.
+	// MaxHeaderSize (headerMost) is the largest size of a request head.
 	MaxHeaderSize Bytes `json:"headerMost,omitempty" jsonschema:"default=32KiB"`
 	// HeaderTimeout is the time limit for receiving a request head.
 	HeaderTimeout clock.Milliseconds `json:"headerTimeout,omitempty" jsonschema:"default=5s"`
-	// IdleTimeout is how long an idle connection is kept open.
+	// IdleTimeout (idleMost) is how long an idle connection is kept open.
 	IdleTimeout clock.Milliseconds `json:"idleMost,omitempty" jsonschema:"default=2m"`
-	// MaxStall is the longest pause in the transfer of a body, in either direction.
+	// MaxStall (stallMost) is the longest pause in the transfer of a body, in either direction.
 	MaxStall clock.Milliseconds `json:"stallMost,omitempty" jsonschema:"default=10s"`
 }
