--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -23,9 +23,9 @@
 )
 
 const compareLong = `Compares policies on one service of an example site with real instances and fake backend servers in this process.
-Each policy has its own site with the same seeds, and the policies take turns. A policy is NAME@K: K of the --instances serve
-the service. "leastTaken@1" is a single queue that knows the state of every slot, the upper baseline. Noisy neighbours make each
-backend server ten times slower for 50 to 500 ms, 3% of the time.`
+Each policy has its own site with the same seeds, and the policies take turns. A policy is given as NAME@K: K of the --instances
+serve the service. "leastTaken@1" is a single queue that knows the state of every slot, the upper baseline. Noisy neighbours make
+each backend server ten times slower for 50 to 500 ms, 3% of the time.`
 
 // serviceSigma is the standard deviation of the logarithm of service times.
 const serviceSigma = 0.5
@@ -44,8 +44,8 @@
 	Load        float64            `long:"load" default:"0.8" description:"Load as a share of capacity, noise included"`
 	Quiet       bool               `long:"quiet" description:"No noisy neighbours"`
 	ServiceTime clock.Milliseconds `long:"service-time" default:"20ms" value-name:"TIME" description:"Median service time, with its unit"`
-	Slice       clock.Milliseconds `long:"slice" default:"4s" value-name:"TIME" description:"How long a policy is loaded before the next one is, with its unit"`
-	Rounds      int                `long:"rounds" default:"5" description:"How often every policy is loaded"`
+	Slice       clock.Milliseconds `long:"slice" default:"4s" value-name:"TIME" description:"How long a policy gets load before the next one does, with its unit"`
+	Rounds      int                `long:"rounds" default:"5" description:"How often every policy gets load"`
 	Seed        uint64             `long:"seed" default:"1" description:"Seed of arrivals, service times and noise"`
 	Out         string             `long:"out" value-name:"DIRECTORY" description:"Also write report.txt, report.json and report.svg there"`
 	streams     streams
@@ -158,15 +158,15 @@
 
 func (compareCommand *compareCommand) startSite(example *settings.Site, policy comparedPolicy) (*sitetest.Site, error) {
 	name := settings.ServiceName(compareCommand.Service)
-	quick := sitetest.WithShortIntervals(example, clock.Second)
-	quick.Fleet.InstancesPerService = policy.serving
-	quick.Fleet.HeartbeatInterval = 300 * clock.Millisecond
-	quick.Fleet.SuspectAfter = clock.Second
+	siteSettings := sitetest.WithShortIntervals(example, clock.Second)
+	siteSettings.Fleet.InstancesPerService = policy.serving
+	siteSettings.Fleet.HeartbeatInterval = 300 * clock.Millisecond
+	siteSettings.Fleet.SuspectAfter = clock.Second
 	if policy.policy.NeedsLoadReports() {
-		quick.Measuring.ReportsPerTargetPerSecond = 10
+		siteSettings.Measuring.ReportsPerTargetPerSecond = 10
 	}
 	return sitetest.Start(sitetest.Options{
-		Site: quick, Instances: compareCommand.Instances, Seed: compareCommand.Seed, Log: zerolog.Nop(), Policy: policy.policy,
+		Site: siteSettings, Instances: compareCommand.Instances, Seed: compareCommand.Seed, Log: zerolog.Nop(), Policy: policy.policy,
 		Targets: map[settings.ServiceName]int{name: exampleTargets[compareCommand.Site][name]},
 		Server: func(settings.ServiceName) backendservertest.Options {
 			return backendservertest.Options{
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -13,9 +13,9 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-const explainLong = `Shows the trace of one request: for each attempt the backend server, the number of candidates, the reason for the
-choice, and the result. ID is the response's Jaywheel-Request-Id header. Each instance keeps the traces of its latest 4096
-requests, so query the instance that served the request.`
+const explainLong = `Shows the trace of one request: for each attempt the backend server, the number of targets from which it was
+selected, its permits in use, and the result. ID is the response's Jaywheel-Request-Id header. Each instance keeps the traces of
+its latest 4096 requests, so query the instance that served the request.`
 
 type explainCommand struct {
 	Operator string `long:"operator" value-name:"IP:PORT" required:"yes" description:"Operator address of the instance"`
@@ -78,6 +78,6 @@
 	if attempt.Considered == 0 {
 		return fmt.Sprintf("no permit was free; waited %s until %s in %s had one", formatMilliseconds(attempt.QueueWait), attempt.Target, attempt.DataCentre)
 	}
-	return fmt.Sprintf("of %d targets with a free permit, %s in %s had the smallest share of permits in use (%d including this request)",
+	return fmt.Sprintf("of %d targets with a free permit, %s in %s was selected (%d permits in use, including this request's)",
 		attempt.Considered, attempt.Target, attempt.DataCentre, attempt.InFlight)
 }
--- a/cmd/fetch.go
+++ b/cmd/fetch.go
@@ -15,7 +15,8 @@
 	maxResponseSize = 64 << 20
 )
 
-// fetch reads a page of an instance. For a status other than 200 it returns an error with the body of the response.
+// fetch sends a GET request to an instance and returns the body of the response. For a status other than 200 it returns an error
+// that contains the body.
 func fetch(address, path string, query url.Values) ([]byte, error) {
 	client := &http.Client{Timeout: fetchTimeout}
 	target := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
--- a/cmd/fleet.go
+++ b/cmd/fleet.go
@@ -23,8 +23,12 @@
 
 const fleetLong = `Shows all instances on the users' platform: queries one instance for its peers, then each peer at the same operator
 port. Prints one line for each instance, first instances with a problem, then serving instances; then the number of instances in
-each state, and the problems: instances that don't answer, that have an older configuration than others, or that are lost to some
-instances and alive to others. The exit code is 1 if there is any problem, even if a filter hides the instance.
+each state, and the problems: instances that don't answer, that have an older configuration than others, or that consider an
+instance lost although it answers. The exit code is 1 if there is any problem, even if a filter hides the instance.
+
+Columns: ready = the readiness check succeeds; reads = the instance reads the store itself; version = configuration in force;
+revision = newest known change of the store; in flight = requests at backend servers; waiting = requests that wait for a permit;
+peers = number of other instances that it knows.
 
   jaywheel fleet --operator 10.1.0.34:8544
   jaywheel fleet --operator 10.1.0.34:8544 --state serving
@@ -36,7 +40,7 @@
 	DataCentre string `long:"data-centre" value-name:"NAME" description:"Show only instances in this data centre"`
 	State      string `long:"state" choice:"joining" choice:"standingBy" choice:"serving" choice:"leaving" choice:"lost" description:"Show only instances in this state"`
 	Problems   bool   `long:"problems" description:"Show only instances with a problem"`
-	Teams      bool   `long:"teams" description:"Show rate-limited teams instead of instances: requests asked, let in, refused and returned, by which instances"`
+	Teams      bool   `long:"teams" description:"Show rate-limited teams instead of instances: requests received, admitted, refused and returned, and the instances that received them"`
 	streams    streams
 }
 
@@ -198,8 +202,8 @@
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-// fleetProblems returns the inconsistencies between the instances. Settings revisions may differ for a second; configuration
-// versions may differ only for the time that a new version takes to come into force.
+// fleetProblems returns the inconsistencies between the instances. Store revisions are not compared, since they may differ for a
+// second; configuration versions may differ only for the time that a new version takes to come into force.
 func fleetProblems(lines []fleetLine) []problem {
 	var problems []problem
 	var newest catalog.Version
--- a/cmd/fleet_teams.go
+++ b/cmd/fleet_teams.go
@@ -16,11 +16,11 @@
 // teamLine is the usage of one team, summed over all instances that answered.
 type teamLine struct {
 	usage quota.Usage
-	// instances lists the instances that admitted or refused requests of the team.
+	// instances lists the instances that received requests of the team.
 	instances []settings.InstanceName
 }
 
-// teamLines sums the usage that the instances report for each team and sorts it by refused requests, most first.
+// teamLines sums the usage that the instances report for each team and sorts the teams by refused requests, most first.
 func teamLines(lines []fleetLine) []teamLine {
 	byName := map[string]*teamLine{}
 	for _, line := range lines {
@@ -48,7 +48,7 @@
 
 func printTeams(out io.Writer, lines []fleetLine) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "team\trate\tasked\tlet in\trefused\treturned\tby")
+	fmt.Fprintln(table, "team\trate limit\treceived\tadmitted\trefused\treturned\treceived by")
 	for _, team := range teamLines(lines) {
 		usage := team.usage
 		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%v\n", usage.Team, usage.Rate, usage.Admitted+usage.Refused,
--- a/cmd/fleet_teams_test.go
+++ b/cmd/fleet_teams_test.go
@@ -20,7 +20,7 @@
 	}
 	var out bytes.Buffer
 	require.NoError(t, printTeams(&out, lines))
-	require.Equal(t, "team     rate  asked  let in  refused  returned  by\n"+
-		"strings  2.0   9      4       5        1         [entry-1 entry-2]\n"+
-		"brass    10.0  5      5       0        0         [entry-1]\n", out.String())
+	require.Equal(t, "team     rate limit  received  admitted  refused  returned  received by\n"+
+		"strings  2.0         9         4         5        1         [entry-1 entry-2]\n"+
+		"brass    10.0        5         5         0        0         [entry-1]\n", out.String())
 }
--- a/cmd/gateway.go
+++ b/cmd/gateway.go
@@ -93,7 +93,8 @@
 	return signal == syscall.SIGINT
 }
 
-// watchFile reloads the settings on SIGHUP and when the file has changed. Invalid settings are logged and ignored.
+// watchFile reloads the settings on SIGHUP and when the file has changed. If they are invalid or can't be applied, it logs that and
+// the previous settings stay in force.
 func (gatewayCommand *gatewayCommand) watchFile(ctx context.Context, instance *gateway.Gateway, log zerolog.Logger) {
 	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
@@ -125,8 +126,8 @@
 
 // fileState identifies a version of a file by its modification time and size.
 type fileState struct {
-	at   time.Time
-	size int64
+	modified time.Time
+	size     int64
 }
 
 func statFile(path string) fileState {
@@ -134,5 +135,5 @@
 	if errors.Is(err, os.ErrNotExist) || info == nil {
 		return fileState{}
 	}
-	return fileState{at: info.ModTime(), size: info.Size()}
+	return fileState{modified: info.ModTime(), size: info.Size()}
 }
--- a/cmd/main_test.go
+++ b/cmd/main_test.go
@@ -72,12 +72,12 @@
 func TestSignals(t *testing.T) {
 	errServe := errors.New("serving ended")
 	cases := []struct {
-		name    string
-		signals []os.Signal
-		forces  func(os.Signal) bool
-		leaves  bool
-		serve   error
-		want    error
+		name       string
+		signals    []os.Signal
+		forcesExit func(os.Signal) bool
+		drains     bool
+		serve      error
+		want       error
 	}{
 		{"one signal", []os.Signal{syscall.SIGTERM}, nil, true, nil, nil},
 		{"two signals", []os.Signal{syscall.SIGTERM, syscall.SIGTERM}, nil, false, nil, errSecondSignal},
@@ -100,12 +100,12 @@
 					return nil
 				},
 				drain: func(ctx context.Context) error {
-					if !testCase.leaves {
+					if !testCase.drains {
 						<-ctx.Done()
 					}
 					return nil
 				},
-				forcesExit: testCase.forces,
+				forcesExit: testCase.forcesExit,
 			}.run(signals, clock.Minute)
 			require.ErrorIs(t, err, testCase.want)
 		})
--- a/cmd/settings.go
+++ b/cmd/settings.go
@@ -21,7 +21,7 @@
 	return loaded, withInvalidCode(err)
 }
 
-// withInvalidCode adds the exit code ExitInvalid to errors of invalid settings and returns other errors unchanged.
+// withInvalidCode adds the exit code ExitInvalid to an error that reports invalid settings and returns any other error unchanged.
 func withInvalidCode(err error) error {
 	if settings.IsErrInvalid(err) {
 		return withExitCode(ExitInvalid, err)
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -12,8 +12,8 @@
 	"github.com/jaywheel/jaywheel/internal/operator"
 )
 
-const statusLong = `Shows the state of an instance: settings in force and rejected, peers, and for each service the backend servers
-with the permits in use. Columns: own = requests of this instance in flight; held = permits kept in use after a failure;
+const statusLong = `Shows the state of an instance: settings in force, rejected documents (REFUSED), peers, and for each service the
+backend servers with the permits in use. Columns: own = requests of this instance in flight; held = permits kept in use after a failure;
 limit = requests that this instance may have in flight there; conns = open connections.`
 
 type statusCommand struct {
