--- a/cmd/fleet.go
+++ b/cmd/fleet.go
@@ -40,7 +40,7 @@
 	DataCentre string `long:"data-centre" value-name:"NAME" description:"Show only instances in this data centre"`
 	State      string `long:"state" choice:"joining" choice:"standingBy" choice:"serving" choice:"leaving" choice:"lost" description:"Show only instances in this state"`
 	Problems   bool   `long:"problems" description:"Show only instances with a problem"`
-	Teams      bool   `long:"teams" description:"Show rate-limited teams instead of instances: requests received, admitted, refused and returned, and the instances that received them"`
+	Teams      bool   `long:"teams" description:"Show rate-limited teams instead of instances: requests received, admitted, refused and returned, and by which instances"`
 	streams    streams
 }
 
