--- a/cmd/compare.go
+++ b/cmd/compare.go
@@ -24,8 +24,8 @@
 
 const compareLong = `Compares policies on one service of an example site with real instances and fake backend servers in this process.
 Each policy has its own site with the same seeds, and the policies take turns. A policy is given as NAME@K: K of the --instances
-serve the service. "leastTaken@1" is a single queue that knows the state of every slot, the upper baseline. Noisy neighbours make
-each backend server ten times slower for 50 to 500 ms, 3% of the time.`
+serve the service. "leastTaken@1" is a single queue that knows the state of every slot: the best case to compare with. Noisy
+neighbours make each backend server ten times slower for 50 to 500 ms, 3% of the time.`
 
 // serviceSigma is the standard deviation of the logarithm of service times.
 const serviceSigma = 0.5
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -13,8 +13,9 @@
 )
 
 const statusLong = `Shows the state of an instance: settings in force, rejected documents (REFUSED), peers, and for each service the
-backend servers with the permits in use. Columns: own = requests of this instance in flight; held = permits kept in use after a failure;
-limit = requests that this instance may have in flight there; conns = open connections.`
+backend servers with the permits in use. Columns: owned = this instance reads the server's load report and sends it the first
+requests while it is cold; own = requests of this instance in flight; held = permits kept in use after a failure; limit = requests
+that this instance may have in flight there; failures = consecutive failures; conns = open connections.`
 
 type statusCommand struct {
 	Operator string `long:"operator" value-name:"IP:PORT" required:"yes" description:"Operator address of the instance"`
