--- a/pkg/settings/text_fields.go
+++ b/pkg/settings/text_fields.go
@@ -18,8 +18,8 @@
 	booleanField
 )
 
-// textField is a field that a deployment template may fill in as text. The text may be empty or have another format than
-// the field, since the platform decides, for example, whether a bound is a whole number.
+// textField is a field that a deployment template may fill in as text. The platform decides the format of the text, which may
+// be empty or not what the field requires, for example a fraction where the field is a whole number.
 type textField struct {
 	section, name    string
 	kind             fieldKind
@@ -35,7 +35,7 @@
 	maxRatio       = 10
 	maxProbes      = 1e4
 	maxSeconds     = 3600
-	// minPositive is the minimum of fields that must be greater than 0.
+	// minPositive is the minimum of fields that must be greater than 0, in the unit of the field.
 	minPositive = 1e-3
 )
 
