--- a/cmd/fleet_teams.go
+++ b/cmd/fleet_teams.go
@@ -16,11 +16,11 @@
 // teamLine is the usage of one team, summed over all instances that answered.
 type teamLine struct {
 	usage quota.Usage
-	// instances lists the instances that admitted or refused requests of the team.
+	// instances lists the instances that received requests of the team.
 	instances []settings.InstanceName
 }
 
-// teamLines sums the usage that the instances report for each team and sorts it by refused requests, most first.
+// teamLines sums the usage that the instances report for each team and sorts the teams by refused requests, most first.
 func teamLines(lines []fleetLine) []teamLine {
 	byName := map[string]*teamLine{}
 	for _, line := range lines {
