--- a/internal/service/acquire.go
+++ b/internal/service/acquire.go
@@ -2,7 +2,8 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// TryAcquire acquires a permit for a hedged request if one is free on another target that is fast.
+// TryAcquire acquires a permit for a hedged request without waiting. It returns false if other requests wait, or if no target
+// other than PreviousTarget is expected to complete the request within twice its usual service time.
 func (scheduler *Scheduler) TryAcquire(permitRequest PermitRequest) (Permit, bool) {
 	now := scheduler.clock.Now()
 	scheduler.mutex.Lock()
@@ -11,15 +12,16 @@
 		return Permit{}, false
 	}
 	classStats := scheduler.classStatsOf(permitRequest.Class)
-	best, finish := scheduler.best(now, classStats, permitRequest.PreviousTarget, false)
-	if best == nil || best.Target == permitRequest.PreviousTarget || finish > 2*classStats.serviceTime {
+	best, duration := scheduler.best(now, classStats, permitRequest.PreviousTarget, false)
+	if best == nil || best.Target == permitRequest.PreviousTarget || duration > 2*classStats.serviceTime {
 		return Permit{}, false
 	}
 	return scheduler.bind(now, best, classStats, rankOf(permitRequest, false)), true
 }
 
 // Slow reports whether the request of the permit is expected to take long: its target was slow when it started, or has
-// become slow and the slowdown of requests may vary with it, or the target is unreachable or removed.
+// become slow and the slowdown of requests may vary with it, or the target is unreachable, removed, or without a recent load
+// reading.
 func (permit Permit) Slow() bool {
 	if permit.scheduler == nil {
 		return false
@@ -71,7 +73,7 @@
 		scheduler.reindexInFlight(now, chosen)
 	}
 	return Permit{
-		activeRequest: activeRequest, trialClass: explored,
+		activeRequest: activeRequest, exploredClass: explored,
 		Target: chosen.Target, scheduler: scheduler, candidate: chosen, classStats: classStats,
 		InFlight: inFlight, Considered: scheduler.usableCount, acquiredAt: now,
 		startedFast: !cold && chosen.expectedSlowdown(now, scheduler.meanSlowdown) < slowThreshold,
@@ -90,23 +92,23 @@
 	return activeRequest
 }
 
-// release returns a permit and learns from how the request ended.
+// release returns a permit and learns from the duration and the result of its request.
 func (scheduler *Scheduler) release(permit Permit, result Result) {
 	now := scheduler.clock.Now()
-	held := now.Since(permit.acquiredAt)
+	duration := now.Since(permit.acquiredAt)
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
 	recorded := permit.candidate.endRequest(permit.activeRequest)
 	scheduler.ownInFlight--
-	scheduler.learnSlowdownModel(now, permit, held, result == Succeeded)
-	if permit.trialClass != nil {
-		permit.trialClass.explorations--
+	scheduler.learnSlowdownModel(now, permit, duration, result == Succeeded)
+	if permit.exploredClass != nil {
+		permit.exploredClass.explorations--
 	}
-	scheduler.meanHold += averageWeight * (held - scheduler.meanHold)
+	scheduler.meanPermitDuration += averageWeight * (duration - scheduler.meanPermitDuration)
 	switch result {
 	case Succeeded:
 		permit.candidate.recordSuccess()
-		scheduler.learnServiceTime(permit, held)
+		scheduler.learnServiceTime(permit, duration)
 	case Failed:
 		permit.candidate.recordFailure(now)
 	case Cancelled:
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -6,15 +6,16 @@
 
 // Bounds of admission and of the Retry-After time of refused requests.
 const (
-	// retryAfterNoTarget is the Retry-After time of a service without targets. The list of targets is about a second out of date.
+	// retryAfterNoTarget is the Retry-After time of a service without targets. The list of targets is about a second out of
+	// date, so that a target may exist already.
 	retryAfterNoTarget = 500 * clock.Millisecond
 	// minRetryAfter prevents immediate retries of refused requests. maxRetryAfter limits the delay to the time that the fleet
 	// needs to recover.
 	minRetryAfter = 50 * clock.Millisecond
 	maxRetryAfter = 2 * clock.Second
 	// minRetryAfterServerRefusal is the minimum for a request that backend servers refused while permits are free here. Another
-	// backend server may accept it immediately, and a caller that measures from its first attempt gets a timely answer only by
-	// retrying soon.
+	// backend server may accept it immediately, and a caller whose time limit runs from its first attempt gets a timely response
+	// only by retrying soon.
 	minRetryAfterServerRefusal = 20 * clock.Millisecond
 	// retryAfterJitter is the maximum random increase of a Retry-After time, as a fraction of it, so that callers refused at the
 	// same moment do not retry at the same moment.
@@ -102,14 +103,14 @@
 
 // expectedWait returns the expected queue time of a request of the given rank: the number of requests ahead of it, divided by
 // the rate at which permits are released for its rank. By Little's law that rate is the number of permits in use divided by the
-// mean time that a permit is in use.
+// mean time that a permit is in use. The expected wait is 0 while a fast target is available.
 func (scheduler *Scheduler) expectedWait(now clock.Moment, rank rank) clock.Milliseconds {
 	if scheduler.anyFastAvailable(now) {
 		return 0
 	}
 	ahead := clock.Milliseconds(scheduler.waiting.ahead(rank))
 	availablePermits := float64(max(scheduler.ownInFlight, 1)) * scheduler.startShares.remaining(rank)
-	return (ahead + 1) * scheduler.meanHold / clock.Milliseconds(availablePermits) * waitBias
+	return (ahead + 1) * scheduler.meanPermitDuration / clock.Milliseconds(availablePermits) * waitBias
 }
 
 // waitBias is the factor by which expected waits exceed the estimate by Little's law. Some of the permits belong to slow targets,
--- a/internal/service/bucketindex.go
+++ b/internal/service/bucketindex.go
@@ -21,7 +21,7 @@
 	position int
 }
 
-// move moves an entry to the given bucket, or removes it if the bucket is unlisted.
+// move moves an entry to the given bucket, or removes it from the index if the bucket is notIndexed.
 func (bucketIndex *bucketIndex[T]) move(entry *bucketEntry[T], bucket int) {
 	if entry.bucket == bucket {
 		return
@@ -96,7 +96,7 @@
 }
 
 // pickLowest returns an item of the lowest bucket, random among equals. The item that was tried before is returned only if
-// there is no other. It returns nil if no item is listed.
+// there is no other. It returns nil if the index is empty.
 //
 // The choice among equals is random because with a fixed order all instances, each with the same view, would send their next
 // request to the same target.
--- a/internal/service/candidate.go
+++ b/internal/service/candidate.go
@@ -32,7 +32,7 @@
 // Handling of failures.
 const (
 	// initialBackoff is the time for which a target is avoided after a first failure. It doubles with each consecutive
-	// failure, up to mostDoublings times: 100 ms to 3.2 s. A crashed target is back within seconds, a target that shed load
+	// failure, up to maxPenaltyDoublings times: 100 ms to 3.2 s. A crashed target is back within seconds, a target that shed load
 	// is free sooner.
 	initialBackoff = 100 * clock.Millisecond
 	// failureWeight is the weight of one request in the moving average of failures. About ten requests distinguish a target
@@ -185,12 +185,12 @@
 	return int(float64(candidate.othersAtReading())*float64(1-age/othersDecayTime) + 0.5)
 }
 
-// othersAtReading is the number of requests that other instances had in flight on the target at the reading.
+// othersAtReading returns the number of requests that other instances had in flight on the target at the reading.
 func (candidate *candidate) othersAtReading() int {
 	return max(candidate.reading.Running+candidate.reading.Waiting-candidate.ownAtReading, 0)
 }
 
-// concurrencyLimit is the number of requests that may be in flight on the target at once.
+// concurrencyLimit returns the number of requests that may be in flight on the target at once.
 func (candidate *candidate) concurrencyLimit() int {
 	return candidate.slotClass.currentLimit()
 }
@@ -214,12 +214,12 @@
 	return candidate.tokens >= 1
 }
 
-// coldRate is the number of requests per second that this instance may send to the target while it is cold.
+// coldRate returns the number of requests per second that this instance may send to the target while it is cold.
 func (candidate *candidate) coldRate() float64 {
 	return candidate.config.ColdRate * coldRateShare * *candidate.coldShare
 }
 
-// nextColdStartAt is when a cold target may get one more request, or never if it may get one already.
+// nextColdStartAt returns when a cold target may next get a request, or the value never if it may get one now.
 func (candidate *candidate) nextColdStartAt(now clock.Moment) clock.Moment {
 	candidate.refill(now)
 	if candidate.tokens >= 1 {
@@ -234,7 +234,7 @@
 	candidate.tokensAt = now
 }
 
-// limitShare is the part of the concurrency limit that this instance may use. The number of requests that other instances
+// limitShare returns the part of the concurrency limit that this instance may use. The number of requests that other instances
 // have in flight is known from the reports of the target. On a non-reporting target every instance keeps to a share of its
 // own, since all instances together would otherwise send more requests than the target can queue.
 func (candidate *candidate) limitShare(limit int) int {
--- a/internal/service/candidateindex.go
+++ b/internal/service/candidateindex.go
@@ -21,24 +21,25 @@
 	forecast    slowdownForecast
 	loadPenalty float64
 	slow        bool
-	// phaseIndex lists the candidate, nil while it is not available; fastCount is the count of available fast targets that
-	// includes it, nil for none.
+	// phaseIndex lists the candidate, nil while it is not available; fastCount is the counter of available fast targets that
+	// includes it, nil if none does.
 	phaseIndex *phaseIndex
 	phase      int
 	fastCount  *int
 	// slotClass counts the candidate under its number of requests, inFlight; it is nil while the candidate is not in use.
 	slotClass *slotClass
 	inFlight  int
-	// reindexTimer is when the candidate has to be reindexed.
+	// reindexTimer is due when the candidate has to be reindexed.
 	reindexTimer timer[candidate]
 }
 
-// availability is for which requests a target is available.
+// availability states which requests may be sent to a target.
 type availability int
 
 const (
+	// availableToAll targets accept every request.
 	availableToAll availability = iota
-	// availableDespiteFailures accepts requests that have no other available target.
+	// availableDespiteFailures targets accept only requests that have no other available target.
 	availableDespiteFailures
 	availabilityCount
 )
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -9,15 +9,15 @@
 	// slowThreshold is the slowdown from which a target counts as slow.
 	slowThreshold = 2.0
 	// CallerNetworkDelay is the part of a caller's time that passes on the network between caller and instance, which the
-	// instance cannot measure: three one-way trips until the request arrives on a new connection, and one for the answer.
+	// instance cannot measure: three one-way trips until the request arrives on a new connection, and one for the response.
 	// Callers are up to 8 ms away. For nearer ones a request counts as late slightly too early, which only lowers its rank.
 	CallerNetworkDelay = 34 * clock.Millisecond
 	// remoteCost is the additional cost of a target in another data centre. The number of requests in flight there is known
 	// only from readings, so that instances which all know of the same fast target overload it; and the links between data
 	// centres are shared.
 	remoteCost = 50 * clock.Millisecond
-	// bytesPerMillisecond converts the usual size of a request and its answer to a cost in time. 90 KB over the links
-	// between data centres cost as much as a late answer, 300 ms: a download goes to a slow target in the local data centre
+	// bytesPerMillisecond converts the usual size of a request and its response to a cost in time. 90 KB over the links
+	// between data centres cost as much as a late response, 300 ms: a download goes to a slow target in the local data centre
 	// rather than to a fast one in another.
 	bytesPerMillisecond = 300.0
 	// concurrencyCost is the additional cost of a full target compared with an empty one, as a part of the usual service
@@ -27,7 +27,7 @@
 
 // remoteCostOf returns the cost of a target in another data centre that is added to the predicted duration.
 func remoteCostOf(classStats *classStats) clock.Milliseconds {
-	return remoteCost + clock.Milliseconds(classStats.answerSize/bytesPerMillisecond)
+	return remoteCost + clock.Milliseconds(classStats.transferredBytes/bytesPerMillisecond)
 }
 
 // best returns the available target with the lowest cost of those compared, and the predicted duration of a usual request on
@@ -41,8 +41,8 @@
 	}
 	for _, candidate := range scheduler.ordered {
 		if candidate.available(now, despiteFailures) {
-			finish, long := comparison.prediction.finishOn(candidate)
-			comparison.consider(candidate, finish, long, candidate.config.Local)
+			duration, longDuration := comparison.prediction.durationsOn(candidate)
+			comparison.consider(candidate, duration, longDuration, candidate.config.Local)
 		}
 	}
 	return comparison.result()
@@ -63,12 +63,12 @@
 
 // choose returns the target for a request, or nil if none is available or if the request should wait for a fast one.
 func (scheduler *Scheduler) choose(now clock.Moment, waiter *rankedWaiter) *candidate {
-	chosen, finish := scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, false)
+	chosen, duration := scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, false)
 	if chosen == nil {
 		chosen, _ = scheduler.best(now, waiter.classStats, waiter.request.PreviousTarget, true)
 		return chosen
 	}
-	if chosen.slow(now) && scheduler.shouldWaitForFast(now, waiter, chosen, finish) {
+	if chosen.slow(now) && scheduler.shouldWaitForFast(now, waiter, chosen, duration) {
 		return nil
 	}
 	return chosen
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -33,42 +33,42 @@
 	// tried is the target of an earlier attempt, chosen only if there is no other.
 	tried          *Target
 	triedCandidate *candidate
-	triedFinish    clock.Milliseconds
+	triedDuration  clock.Milliseconds
 	best           *candidate
-	bestFinish     clock.Milliseconds
+	bestDuration   clock.Milliseconds
 	minCost        clock.Milliseconds
 	considered     int
 }
 
-// consider compares an available target with the best one so far. finish and long are the predicted durations of a usual and
-// a long request on it.
-func (comparison *comparison) consider(candidate *candidate, finish, long clock.Milliseconds, local bool) {
+// consider compares an available target with the best one so far. duration and longDuration are the predicted
+// durations of a usual and a long request on it.
+func (comparison *comparison) consider(candidate *candidate, duration, longDuration clock.Milliseconds, local bool) {
 	if candidate.Target == comparison.tried {
-		comparison.triedCandidate, comparison.triedFinish = candidate, finish
+		comparison.triedCandidate, comparison.triedDuration = candidate, duration
 		return
 	}
 	comparison.considered++
 	// The jitter keeps instances with the same view from all choosing the same target.
-	cost := (finish + long) * clock.Milliseconds(1+choiceJitter*comparison.scheduler.random.Float64())
+	cost := (duration + longDuration) * clock.Milliseconds(1+choiceJitter*comparison.scheduler.random.Float64())
 	if !local {
 		cost += 2 * remoteCostOf(comparison.prediction.classStats)
 	}
 	if comparison.best == nil || cost < comparison.minCost {
-		comparison.best, comparison.bestFinish, comparison.minCost = candidate, finish, cost
+		comparison.best, comparison.bestDuration, comparison.minCost = candidate, duration, cost
 	}
 }
 
 func (comparison *comparison) considerIndexed(candidate *candidate, local bool) {
-	finish, long := comparison.prediction.finishAsIndexed(candidate)
-	comparison.consider(candidate, finish, long, local)
+	duration, longDuration := comparison.prediction.durationsAsIndexed(candidate)
+	comparison.consider(candidate, duration, longDuration, local)
 }
 
 // result returns the best target, nil if there is none, and the predicted duration of a usual request on it.
 func (comparison *comparison) result() (*candidate, clock.Milliseconds) {
 	if comparison.best == nil {
-		return comparison.triedCandidate, comparison.triedFinish
+		return comparison.triedCandidate, comparison.triedDuration
 	}
-	return comparison.best, comparison.bestFinish
+	return comparison.best, comparison.bestDuration
 }
 
 // bestIndexed compares some of the targets that are indexed as available.
@@ -81,9 +81,9 @@
 	}
 	for {
 		comparison.compareAvailable(availability)
-		chosen, finish := comparison.result()
+		chosen, duration := comparison.result()
 		if chosen == nil || chosen.available(now, despiteFailures) {
-			return chosen, finish
+			return chosen, duration
 		}
 		scheduler.reindex(now, chosen)
 		comparison.best, comparison.triedCandidate, comparison.considered = nil, nil, 0
--- a/internal/service/concurrency.go
+++ b/internal/service/concurrency.go
@@ -61,8 +61,8 @@
 	maxExplorations  = 2
 )
 
-// classOf returns the model for targets with the given number of slots.
-func (concurrencyModel *concurrencyModel) classOf(slots int) *slotClass {
+// slotClassOf returns the model for targets with the given number of slots.
+func (concurrencyModel *concurrencyModel) slotClassOf(slots int) *slotClass {
 	slots = max(slots, 1)
 	if class, found := concurrencyModel.bySlots[slots]; found {
 		return class
@@ -135,12 +135,12 @@
 }
 
 // learn adds the duration of a request that started on a fast target.
-func (slotClass *slotClass) learn(activeRequest *activeRequest, serviceTime, held clock.Milliseconds) {
+func (slotClass *slotClass) learn(activeRequest *activeRequest, serviceTime, duration clock.Milliseconds) {
 	count := min(activeRequest.inFlightAtStart, len(slotClass.durationFactors)-1)
 	if !slotClass.model.learning || slotClass.uncontended(count) || activeRequest.peakInFlight > activeRequest.inFlightAtStart {
 		return
 	}
 	slotClass.samples[count]++
-	slotClass.durationFactors[count] += factorWeight * (min(float64(held/serviceTime), maxOutlierFactor) - slotClass.durationFactors[count])
+	slotClass.durationFactors[count] += factorWeight * (min(float64(duration/serviceTime), maxOutlierFactor) - slotClass.durationFactors[count])
 	slotClass.updateLimit()
 }
--- a/internal/service/concurrency_test.go
+++ b/internal/service/concurrency_test.go
@@ -33,28 +33,29 @@
 			concurrencyModel := &concurrencyModel{learning: testCase.learning}
 			const work = 100 * clock.Millisecond
 			for range 3000 {
-				count := 1 + random.IntN(concurrencyModel.classOf(testCase.slots).currentLimit())
-				held := work * clock.Milliseconds(testCase.factor(count)*(1+0.3*random.NormFloat64()))
-				concurrencyModel.classOf(testCase.slots).learn(&activeRequest{inFlightAtStart: count, peakInFlight: count}, work, held)
+				count := 1 + random.IntN(concurrencyModel.slotClassOf(testCase.slots).currentLimit())
+				duration := work * clock.Milliseconds(testCase.factor(count)*(1+0.3*random.NormFloat64()))
+				concurrencyModel.slotClassOf(testCase.slots).learn(&activeRequest{inFlightAtStart: count, peakInFlight: count}, work, duration)
 			}
-			require.InDelta(t, testCase.limit, concurrencyModel.classOf(testCase.slots).concurrencyLimit, float64(testCase.slots)/16)
+			require.InDelta(t, testCase.limit, concurrencyModel.slotClassOf(testCase.slots).concurrencyLimit, float64(testCase.slots)/16)
 		})
 	}
 }
 
-// Other requests start after a request. Its duration shows nothing about requests that start beside others.
+// Others start while a request is in flight. Its duration does not show the effect of the requests that were there at its start,
+// and must not be learned from.
 func TestLaterRequestsAreNotLearnedFrom(t *testing.T) {
 	concurrencyModel := &concurrencyModel{learning: true}
-	before := concurrencyModel.classOf(4).durationFactors[3]
-	concurrencyModel.classOf(4).learn(&activeRequest{inFlightAtStart: 3, peakInFlight: 4}, 100, 1000)
-	require.InDelta(t, before, concurrencyModel.classOf(4).durationFactors[3], 0)
+	before := concurrencyModel.slotClassOf(4).durationFactors[3]
+	concurrencyModel.slotClassOf(4).learn(&activeRequest{inFlightAtStart: 3, peakInFlight: 4}, 100, 1000)
+	require.InDelta(t, before, concurrencyModel.slotClassOf(4).durationFactors[3], 0)
 }
 
 // The effect of more requests at once is not known. At most two at a time may explore it; otherwise every server would be
 // overloaded.
 func TestFewRequestsExploreTheLimit(t *testing.T) {
 	concurrencyModel := &concurrencyModel{learning: true}
-	slotClass := concurrencyModel.classOf(4)
+	slotClass := concurrencyModel.slotClassOf(4)
 	require.Equal(t, 4, slotClass.currentLimit())
 	slotClass.explorations = maxExplorations
 	require.Equal(t, 3, slotClass.currentLimit())
@@ -74,12 +75,12 @@
 		candidate.observe(LoadReading{At: begin.Add(50), Slowdown: slowdown, SteadyFor: 100, Period: 150})
 	}
 	cases := []struct {
-		name    string
-		after   clock.Milliseconds
-		held    clock.Milliseconds
-		found   bool
-		fixed   float64
-		varying float64
+		name     string
+		after    clock.Milliseconds
+		duration clock.Milliseconds
+		found    bool
+		fixed    float64
+		varying  float64
 	}{
 		{"within the fast interval", 20, 120, true, 100, 100},
 		{"into the slow interval", 100, 300, true, 100, 50 + 150 + 20},
@@ -91,7 +92,7 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			since := start.Add(testCase.after)
-			forecast, found := candidate.retrospectiveForecast(since, since.Add(testCase.held), 100, 1.25)
+			forecast, found := candidate.retrospectiveForecast(since, since.Add(testCase.duration), 100, 1.25)
 			require.Equal(t, testCase.found, found)
 			require.InDelta(t, testCase.fixed, float64(forecast.fixed), 0.1)
 			require.InDelta(t, testCase.varying, float64(forecast.varying), 3)
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -36,9 +36,9 @@
 
 // The results of a request.
 const (
-	// Succeeded means that the backend server answered.
+	// Succeeded means that the backend server responded.
 	Succeeded Result = iota
-	// Failed means that the backend server broke the connection, refused the request, or answered with a server error.
+	// Failed means that the backend server broke the connection, refused the request, or responded with a server error.
 	Failed
 	// Cancelled means that the request ended for a reason unrelated to the backend server.
 	Cancelled
@@ -46,8 +46,10 @@
 
 // Limits are the service's settings for queueing and for failures.
 type Limits struct {
-	QueueLength    int
-	QueueWait      clock.Milliseconds
+	// QueueLength is the maximum number of waiting requests, QueueWait the maximum time that one waits.
+	QueueLength int
+	QueueWait   clock.Milliseconds
+	// FailurePenalty is the time for which a permit is withheld after a first failure.
 	FailurePenalty clock.Milliseconds
 }
 
@@ -65,12 +67,12 @@
 	Priority settings.Priority
 	// TeamPriority takes precedence over Priority. Only a Scheduler uses it.
 	TeamPriority settings.Priority
-	// Deadline is the moment after which the answer is worthless.
+	// Deadline is the moment after which a response is worthless.
 	Deadline clock.Moment
 	// PreviousTarget is the target on which an earlier attempt of the request failed, or nil.
 	PreviousTarget *Target
 	// Class and SoftDeadline are used by a Scheduler only. Requests of one class take about the same time. SoftDeadline is the
-	// moment until which an answer has its full value.
+	// moment until which a response has its full value.
 	Class        settings.ClassName
 	SoftDeadline clock.Moment
 }
@@ -87,7 +89,7 @@
 	Considered int
 	// acquiredAt is the moment at which the permit was acquired.
 	acquiredAt clock.Moment
-	// TransferredBytes is the length of the request and its answer in bytes, set before Release.
+	// TransferredBytes is the length of the request and its response in bytes, set before Release.
 	TransferredBytes int
 	// LoadReading is the load reading of the target at the time of the choice.
 	LoadReading LoadReading
@@ -99,9 +101,9 @@
 	startedFast bool
 	// activeRequest records how many requests run on the target while this one is in flight.
 	activeRequest *activeRequest
-	// trialClass is set when the request exceeds the best known concurrency of the target, to find out whether more is
-	// possible.
-	trialClass *slotClass
+	// exploredClass is the slotClass of the target if the request exceeds its concurrency limit, to learn the effect of one
+	// request more; nil otherwise.
+	exploredClass *slotClass
 }
 
 // Dispatcher grants the permits of one service at one instance. It is safe for concurrent use.
@@ -154,7 +156,8 @@
 	dispatcher.limits = limits
 }
 
-// Add adds a target. It gets no permits until SetLimit sets its limit. Add does nothing when the name is known.
+// Add adds a target. It gets no permits until SetLimit sets its limit. A target that was removed while
+// requests are in flight on it is restored. Add does nothing if the target exists and has not been removed.
 func (dispatcher *Dispatcher) Add(name settings.TargetName, address string, dataCentre settings.DataCentreName) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
@@ -232,15 +235,15 @@
 
 // reindex moves a target to its current bucket of the index.
 func (dispatcher *Dispatcher) reindex(target *Target) {
-	level := target.computeBucket(dispatcher.throttled(target))
-	if (level == notIndexed) != (target.bucketEntry.bucket == notIndexed) {
-		if level == notIndexed {
+	bucket := target.computeBucket(dispatcher.throttled(target))
+	if (bucket == notIndexed) != (target.bucketEntry.bucket == notIndexed) {
+		if bucket == notIndexed {
 			dispatcher.availableTargets--
 		} else {
 			dispatcher.availableTargets++
 		}
 	}
-	dispatcher.index.move(&target.bucketEntry, level)
+	dispatcher.index.move(&target.bucketEntry, bucket)
 }
 
 // throttled reports whether a target has failed so often that it gets one request at a time. No target is throttled while more
@@ -250,7 +253,7 @@
 	return target.consecutiveFailures >= failuresUntilThrottled && 2*dispatcher.failingTargets <= dispatcher.liveTargets
 }
 
-// Acquire waits for a permit. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the context's.
+// Acquire waits for a permit. The error is ErrNoTarget, ErrQueueFull, ErrQueueWait, ErrDeadline or the error of the context.
 func (dispatcher *Dispatcher) Acquire(ctx context.Context, request PermitRequest) (Permit, error) {
 	now := dispatcher.clock.Now()
 	dispatcher.mutex.Lock()
@@ -433,7 +436,7 @@
 
 // penalize records a failure. A server that fails fast has few requests in flight and would look like the best choice, so
 // nearly all requests would go to it; the symptom is many errors at a low load. Withholding the permit for a while makes a
-// failure count as much as a slow answer. At most half of all permits are withheld at a time.
+// failure count as much as a slow response. At most half of all permits are withheld at a time.
 func (dispatcher *Dispatcher) penalize(target *Target) {
 	dispatcher.setConsecutiveFailures(target, target.consecutiveFailures+1)
 	if 2*(dispatcher.penaltyPermits+1) > dispatcher.totalLimit || target.removed {
--- a/internal/service/dispatcher_test.go
+++ b/internal/service/dispatcher_test.go
@@ -101,14 +101,14 @@
 			"limit": func(t *rapid.T) {
 				name := names.Draw(t, "target")
 				slots := rapid.IntRange(0, 6).Draw(t, "slots")
-				limit := TargetLimit{Limit: slots, MinShare: rapid.IntRange(0, 2).Draw(t, "least"), MaxOwnInFlight: rapid.IntRange(0, 8).Draw(t, "most")}
+				limit := TargetLimit{Limit: slots, MinShare: rapid.IntRange(0, 2).Draw(t, "minShare"), MaxOwnInFlight: rapid.IntRange(0, 8).Draw(t, "maxOwnInFlight")}
 				others := rapid.IntRange(0, 3).Draw(t, "others")
 				dispatcher.SetLimit(name, limit, others)
 				if target := model.targets[name]; target != nil && target.present {
 					target.limit, target.othersInFlight = limit, others
 				}
 			},
-			"take": func(t *rapid.T) {
+			"acquire": func(t *rapid.T) {
 				cancelled, cancel := context.WithCancel(context.Background())
 				cancel()
 				minimum, available := model.minUtilization()
@@ -325,7 +325,7 @@
 	require.Equal(t, "127.0.0.1:2", again.Target.Address)
 }
 
-// Retries are limited to a share of the live requests, however many fail.
+// Retries are limited to a share of the requests of callers, however many fail.
 func TestRetryBudget(t *testing.T) {
 	budget := NewRetryBudget(0.1)
 	spent := 0
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -19,7 +19,7 @@
 	random *rand.Rand
 }
 
-func (exhaustiveChooser *exhaustiveChooser) finish(candidate *candidate, classStats *classStats, times clock.Milliseconds) clock.Milliseconds {
+func (exhaustiveChooser *exhaustiveChooser) duration(candidate *candidate, classStats *classStats, times clock.Milliseconds) clock.Milliseconds {
 	now, serviceTime := exhaustiveChooser.now, classStats.serviceTime*times
 	slowdown := clock.Milliseconds(candidate.expectedSlowdown(now, exhaustiveChooser.meanSlowdown))
 	fixed, varying := serviceTime*slowdown, serviceTime*slowdown
@@ -33,16 +33,16 @@
 		}
 	}
 	inFlight := float64(candidate.ownInFlight + candidate.othersInFlight(now))
-	finish := exhaustiveChooser.slowdownModel.weighted(durationForecast{fixed: fixed, varying: varying})
-	return finish + classStats.serviceTime*clock.Milliseconds(concurrencyCost*inFlight/float64(candidate.concurrencyLimit())+failureCost*candidate.failureRate)
+	duration := exhaustiveChooser.slowdownModel.weighted(durationForecast{fixed: fixed, varying: varying})
+	return duration + classStats.serviceTime*clock.Milliseconds(concurrencyCost*inFlight/float64(candidate.concurrencyLimit())+failureCost*candidate.failureRate)
 }
 
 // cost is the cost by which targets are compared. chance replaces the random number of the jitter.
 func (exhaustiveChooser *exhaustiveChooser) cost(candidate *candidate, classStats *classStats, chance float64) clock.Milliseconds {
-	cost := exhaustiveChooser.finish(candidate, classStats, 1) + exhaustiveChooser.finish(candidate, classStats, longRequestFactor)
+	cost := exhaustiveChooser.duration(candidate, classStats, 1) + exhaustiveChooser.duration(candidate, classStats, longRequestFactor)
 	cost *= clock.Milliseconds(1 + choiceJitter*chance)
 	if !candidate.config.Local {
-		cost += 2 * (remoteCost + clock.Milliseconds(classStats.answerSize/bytesPerMillisecond))
+		cost += 2 * (remoteCost + clock.Milliseconds(classStats.transferredBytes/bytesPerMillisecond))
 	}
 	return cost
 }
@@ -91,23 +91,23 @@
 	scheduler, now := randomWorkload.scheduler, randomWorkload.clock.Now()
 	seed := randomWorkload.random.Uint64()
 	exhaustiveChooser := &exhaustiveChooser{Scheduler: scheduler, now: now, random: rand.New(rand.NewPCG(seed, seed))}
-	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any available")
+	require.Equal(randomWorkload, exhaustiveChooser.anyFastAvailable(), scheduler.anyFastAvailable(now), "any fast available")
 	inFlight, limit := exhaustiveChooser.inFlightAndLimit()
 	foundInFlight, foundLimit := scheduler.inFlight(now)
 	require.Equal(randomWorkload, []int{inFlight, limit}, []int{foundInFlight, foundLimit}, "in flight and limit")
 	permitRequest := randomWorkload.permitRequest()
 	scheduler.random = rand.New(rand.NewPCG(seed, seed))
 	expected := exhaustiveChooser.best(permitRequest, false)
-	found, finish := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.PreviousTarget, false)
+	found, duration := scheduler.best(now, scheduler.classStatsOf(permitRequest.Class), permitRequest.PreviousTarget, false)
 	if expected == nil && found == nil {
 		require.Equal(randomWorkload, exhaustiveChooser.best(permitRequest, true) == nil, randomWorkload.bestDespiteFailures(permitRequest) == nil, "despite failures")
 		return
 	}
 	require.Equal(randomWorkload, expected == nil, found == nil, "any available")
-	require.True(randomWorkload, found.config.Usable && !found.down && found.available(now, false), "open")
+	require.True(randomWorkload, found.config.Usable && !found.down && found.available(now, false), "available")
 	if len(scheduler.ordered) <= maxFullComparison {
 		require.Same(randomWorkload, expected, found)
-		require.InDelta(randomWorkload, float64(exhaustiveChooser.finish(expected, scheduler.classStatsOf(permitRequest.Class), 1)), float64(finish), 1e-6)
+		require.InDelta(randomWorkload, float64(exhaustiveChooser.duration(expected, scheduler.classStatsOf(permitRequest.Class), 1)), float64(duration), 1e-6)
 		return
 	}
 	require.Equal(randomWorkload, expected.Target == permitRequest.PreviousTarget, found.Target == permitRequest.PreviousTarget,
@@ -128,15 +128,15 @@
 	cases := []struct {
 		targets int
 		steps   int
-		// mean and most bound the cost of the chosen target beyond that of the best one, relative to the latter: on average,
+		// mean and p99 bound the cost of the chosen target beyond that of the best one, relative to the latter: on average,
 		// and in 99 of 100 choices.
-		mean, most float64
+		mean, p99 float64
 	}{
 		{targets: 3, steps: 4000},
 		{targets: 16, steps: 4000},
-		{targets: 17, steps: 4000, mean: choiceJitter, most: 0.2},
-		{targets: 60, steps: 4000, mean: choiceJitter, most: 0.2},
-		{targets: 300, steps: 6000, mean: choiceJitter, most: 0.2},
+		{targets: 17, steps: 4000, mean: choiceJitter, p99: 0.2},
+		{targets: 60, steps: 4000, mean: choiceJitter, p99: 0.2},
+		{targets: 300, steps: 6000, mean: choiceJitter, p99: 0.2},
 	}
 	for _, testCase := range cases {
 		for seed := range uint64(4) {
@@ -154,10 +154,10 @@
 				for _, excess := range randomWorkload.excessCosts {
 					sum += excess
 				}
-				mean, most := sum/float64(len(randomWorkload.excessCosts)), randomWorkload.excessCosts[len(randomWorkload.excessCosts)*99/100]
-				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at most", len(randomWorkload.excessCosts), mean, most, slices.Max(randomWorkload.excessCosts))
+				mean, p99 := sum/float64(len(randomWorkload.excessCosts)), randomWorkload.excessCosts[len(randomWorkload.excessCosts)*99/100]
+				t.Logf("%d choices: %.4f on average, %.4f in 99 of 100, %.4f at most", len(randomWorkload.excessCosts), mean, p99, slices.Max(randomWorkload.excessCosts))
 				require.LessOrEqual(t, mean, testCase.mean)
-				require.LessOrEqual(t, most, testCase.most)
+				require.LessOrEqual(t, p99, testCase.p99)
 			})
 		}
 	}
--- a/internal/service/learning.go
+++ b/internal/service/learning.go
@@ -11,9 +11,9 @@
 	// it was learned from.
 	serviceTime clock.Milliseconds
 	samples     int
-	// answerSize is the average size of a request and its answer in bytes.
-	answerSize float64
-	// maxTimeLeft is the longest time that a caller of the class had left.
+	// transferredBytes is the average size of a request and its response in bytes.
+	transferredBytes float64
+	// maxTimeLeft is the longest time that a caller of the class had left when its request arrived.
 	maxTimeLeft clock.Milliseconds
 }
 
@@ -128,11 +128,11 @@
 
 // learnServiceTime updates the usual service time with a request that started on a fast target, corrected for the other
 // requests on that target.
-func (scheduler *Scheduler) learnServiceTime(permit Permit, held clock.Milliseconds) {
+func (scheduler *Scheduler) learnServiceTime(permit Permit, duration clock.Milliseconds) {
 	classStats := permit.classStats
-	classStats.answerSize += learnWeight * (float64(permit.TransferredBytes) - classStats.answerSize)
+	classStats.transferredBytes += learnWeight * (float64(permit.TransferredBytes) - classStats.transferredBytes)
 	slotClass := permit.candidate.slotClass
-	uncontended := held / slotClass.durationFactor(permit.activeRequest.inFlightAtStart)
+	uncontended := duration / slotClass.durationFactor(permit.activeRequest.inFlightAtStart)
 	if !permit.startedFast || classStats.samples >= minSamples && uncontended > maxOutlierFactor*classStats.serviceTime {
 		// The request was slowed down while it ran, or started on a slow target, which does not show the usual time. An
 		// estimate that is far too low is still raised, slowly.
@@ -143,7 +143,7 @@
 	// be attributed to the other.
 	if classStats.samples >= minSamples && !slotClass.uncontended(permit.activeRequest.peakInFlight) {
 		scheduler.concurrencyModel.learning = !scheduler.slowdownMayVary(scheduler.clock.Now())
-		slotClass.learn(permit.activeRequest, classStats.serviceTime, held)
+		slotClass.learn(permit.activeRequest, classStats.serviceTime, duration)
 		return
 	}
 	classStats.samples++
@@ -152,38 +152,38 @@
 
 // learnSlowdownModel learns from the duration of a request whether requests keep the slowdown at which they start. It
 // requires a known service time of the class.
-func (scheduler *Scheduler) learnSlowdownModel(now clock.Moment, permit Permit, held clock.Milliseconds, finished bool) {
+func (scheduler *Scheduler) learnSlowdownModel(now clock.Moment, permit Permit, duration clock.Milliseconds, finished bool) {
 	classStats := permit.classStats
 	if classStats.samples < minSamples {
 		return
 	}
 	serviceTime := classStats.serviceTime * permit.candidate.slotClass.durationFactor(permit.activeRequest.inFlightAtStart)
 	if forecast, found := permit.candidate.retrospectiveForecast(permit.acquiredAt, now, serviceTime, scheduler.longRunSlowdown()); found {
-		scheduler.slowdownModel.learn(forecast, serviceTime, held, finished)
+		scheduler.slowdownModel.learn(forecast, serviceTime, duration, finished)
 	}
 }
 
 // If the slowdown of a request varies with the slowdown of its target, its duration shows little about the effect of the
 // other requests in flight when it started.
 const (
-	// varyingBelow is the weight of the fixed slowdown below which the slowdown of requests counts as varying.
-	varyingBelow = 0.7
-	// steadyAfter is the time without a slow target after which no slowdown is left to vary.
-	steadyAfter = 10 * clock.Second
+	// fixedWeightThreshold is the weight of the fixed slowdown below which the slowdown of requests counts as varying.
+	fixedWeightThreshold = 0.7
+	// slowdownFreePeriod is the time without a slow target after which no slowdown is left to vary.
+	slowdownFreePeriod = 10 * clock.Second
 )
 
 // slowdownMayVary reports whether the slowdown of running requests may vary with the slowdown of their target.
 func (scheduler *Scheduler) slowdownMayVary(now clock.Moment) bool {
-	if now.Since(scheduler.lastSlowAt) >= steadyAfter {
+	if now.Since(scheduler.lastSlowAt) >= slowdownFreePeriod {
 		return false
 	}
-	return !scheduler.slowdownModel.hasEvidence() || scheduler.slowdownModel.fixedWeight() < varyingBelow
+	return !scheduler.slowdownModel.hasEvidence() || scheduler.slowdownModel.fixedWeight() < fixedWeightThreshold
 }
 
 // maxOutlierFactor is the longest duration, relative to the usual one, of a request that counts as not slowed down.
 const maxOutlierFactor = 2.5
 
-// Observe adds a load reading that arrived with the answer to the request of the permit.
+// Observe adds a load reading that arrived with the response to the request of the permit.
 func (permit Permit) Observe(reading LoadReading) {
 	if permit.scheduler != nil {
 		permit.scheduler.Observe(permit.Target.Name, reading)
@@ -197,7 +197,7 @@
 // meanTimeShare is the average time limit of callers, relative to the longest one.
 const meanTimeShare = 0.92
 
-// SoftDeadline returns the moment until which an answer has its full value to a caller with the given time left. softTimeout
+// SoftDeadline returns the moment until which a response has its full value to a caller with the given time left. softTimeout
 // is the time from the first attempt of the caller until then. A caller that retries has less time left than others of its
 // class, which shows how much of its time has passed.
 func (scheduler *Scheduler) SoftDeadline(class settings.ClassName, now clock.Moment, softTimeout, left clock.Milliseconds) clock.Moment {
--- a/internal/service/loadreading.go
+++ b/internal/service/loadreading.go
@@ -2,8 +2,8 @@
 
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
-// LoadReading is the state that a target reported at one moment: in a header of an answer, in the answer to a probe, or
-// through the instance that probes it.
+// LoadReading is the state that a target reported at one moment: in a header of a response, in the response to a probe,
+// or through the instance that probes it.
 type LoadReading struct {
 	// At is when the reading was taken, on the clock of this process.
 	At clock.Moment
@@ -34,7 +34,7 @@
 const coldSlowdown = 2.0
 
 // expectedSlowdown returns the slowdown to expect at now. meanSlowdown is the average over the readings of warm targets. A
-// reading of a cold target already includes its being cold, so only the mean is raised for it.
+// reading of a cold target already includes the slowdown of cold targets, so only the mean is raised by coldSlowdown.
 func (candidate *candidate) expectedSlowdown(now clock.Moment, meanSlowdown float64) float64 {
 	if candidate.cold(now) {
 		meanSlowdown *= coldSlowdown
--- a/internal/service/nonreporting_test.go
+++ b/internal/service/nonreporting_test.go
@@ -11,7 +11,7 @@
 )
 
 // Three instances share servers that report no load, so that none knows the requests of the others. If each filled every
-// server, a server with four slots and a queue of eight would get twelve requests from each of them. It never answers those
+// server, a server with four slots and a queue of eight would get twelve requests from each of them. It never responds to those
 // that it cannot queue, and their callers wait in vain. Reporting servers are filled according to their reports.
 func TestShareOfNonReportingServers(t *testing.T) {
 	cases := []struct {
@@ -68,8 +68,8 @@
 		reading LoadReading
 		probeIn clock.Milliseconds
 	}{
-		{"silent", LoadReading{}, nonReportingProbeInterval},
-		{"telling", LoadReading{Slots: 4, Slowdown: 1}, 30},
+		{"non-reporting", LoadReading{}, nonReportingProbeInterval},
+		{"reporting", LoadReading{Slots: 4, Slowdown: 1}, 30},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/service/package.go
+++ b/internal/service/package.go
@@ -12,7 +12,7 @@
 //
 //	dispatcher := service.NewDispatcher(service.Options{Clock: clock.New(), Rand: rand.New(...), ...})
 //	dispatcher.Add("browsing-1", "10.0.0.7:8080", "sofia-1")
-//	dispatcher.SetLimit("browsing-1", service.WarmShare(service.PolicyLeastTaken, 6, 3, 14), 0)
+//	dispatcher.SetLimit("browsing-1", service.WarmTargetLimit(service.PolicyLeastUtilized, 6, 3, 14), 0)
 //	permit, err := dispatcher.Acquire(ctx, service.PermitRequest{Priority: 0, Deadline: deadline})
 //	if err != nil {
 //		// Refused: nothing was sent anywhere.
--- a/internal/service/pendingpermit.go
+++ b/internal/service/pendingpermit.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// WaitDeadline returns the moment at which the wait ends and the holder calls Cancel.
+// WaitDeadline returns the moment at which the wait ends: the holder must call Cancel then.
 func (pendingPermit *PendingPermit) WaitDeadline() clock.Moment {
 	return pendingPermit.waiter.waitDeadline
 }
--- a/internal/service/prediction.go
+++ b/internal/service/prediction.go
@@ -27,22 +27,22 @@
 	}
 }
 
-// finishOn predicts the durations of a usual and a long request on the target.
-func (prediction *prediction) finishOn(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
+// durationsOn predicts the durations of a usual and a long request on the target.
+func (prediction *prediction) durationsOn(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
 	slowdownForecast := candidate.forecastSlowdown(prediction.now, prediction.meanSlowdown)
-	return prediction.finish(&slowdownForecast, candidate.loadPenalty(candidate.ownInFlight+candidate.othersInFlight(prediction.now), candidate.concurrencyLimit()))
+	return prediction.durations(&slowdownForecast, candidate.loadPenalty(candidate.ownInFlight+candidate.othersInFlight(prediction.now), candidate.concurrencyLimit()))
 }
 
-// finishAsIndexed does the same with the forecast that was stored when the target was indexed.
-func (prediction *prediction) finishAsIndexed(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
+// durationsAsIndexed predicts the same durations from the forecast that was stored when the target was indexed.
+func (prediction *prediction) durationsAsIndexed(candidate *candidate) (clock.Milliseconds, clock.Milliseconds) {
 	indexEntry := &candidate.indexEntry
 	if indexEntry.forecast.until < prediction.now {
-		return prediction.finishOn(candidate)
+		return prediction.durationsOn(candidate)
 	}
-	return prediction.finish(&indexEntry.forecast, indexEntry.loadPenalty)
+	return prediction.durations(&indexEntry.forecast, indexEntry.loadPenalty)
 }
 
-func (prediction *prediction) finish(slowdownForecast *slowdownForecast, loadPenalty float64) (clock.Milliseconds, clock.Milliseconds) {
+func (prediction *prediction) durations(slowdownForecast *slowdownForecast, loadPenalty float64) (clock.Milliseconds, clock.Milliseconds) {
 	serviceTime := prediction.classStats.serviceTime
 	penalty := serviceTime * clock.Milliseconds(loadPenalty)
 	usual := slowdownForecast.duration(prediction.now, serviceTime, prediction.longRunSlowdown)
--- a/internal/service/randomworkload_test.go
+++ b/internal/service/randomworkload_test.go
@@ -40,8 +40,8 @@
 	return randomWorkload
 }
 
-func (randomWorkload *randomWorkload) chance(part float64) bool {
-	return randomWorkload.random.Float64() < part
+func (randomWorkload *randomWorkload) chance(probability float64) bool {
+	return randomWorkload.random.Float64() < probability
 }
 
 func (randomWorkload *randomWorkload) randomConfig(number int) TargetConfig {
--- a/internal/service/rankedqueue.go
+++ b/internal/service/rankedqueue.go
@@ -9,7 +9,7 @@
 )
 
 // rank is the order in which waiting requests are served: first the requests that can still meet their soft deadline, by
-// priority, then the late ones, by priority. An answer on time is worth ten late ones to the users, so a late request never goes
+// priority, then the late ones, by priority. A response on time is worth ten late ones to the users, so a late request never goes
 // before one that is on time.
 type rank int
 
--- a/internal/service/retrybudget.go
+++ b/internal/service/retrybudget.go
@@ -5,19 +5,19 @@
 // thousandthsPerRetry is the cost of one retry. The budget counts in thousandths of a retry.
 const thousandthsPerRetry = 1000
 
-// maxBudget is the maximum balance, 10 retries: a quiet service can still retry its first failures, and a busy one cannot
+// maxBudget is the maximum balance, 10 retries: a service with few requests can still retry its first failures, and a busy one cannot
 // accumulate enough retries for a retry storm.
 const maxBudget = 10 * thousandthsPerRetry
 
-// RetryBudget limits retries to a share of the live requests. Without a limit, retries multiply the load exactly when backend
-// servers fail because they are overloaded. It is safe for concurrent use.
+// RetryBudget limits retries to a share of the requests of callers, retries not counted. Without a limit, retries multiply the
+// load exactly when backend servers fail because they are overloaded. It is safe for concurrent use.
 type RetryBudget struct {
 	thousandths atomic.Int64
 	perRequest  atomic.Int64
 	capacity    atomic.Int64
 }
 
-// NewRetryBudget returns a full budget to which each live request adds the given ratio of a retry, from 0 to 1.
+// NewRetryBudget returns a full budget to which each request of a caller adds the given ratio of a retry, from 0 to 1.
 func NewRetryBudget(ratio float64) *RetryBudget {
 	budget := &RetryBudget{}
 	budget.capacity.Store(maxBudget)
@@ -42,12 +42,12 @@
 	budget.capacity.Store(int64(max(capacity, 1)) * thousandthsPerRetry)
 }
 
-// SetRetryRatio changes the number of retries allowed per live request, from 0 to 1.
+// SetRetryRatio changes the number of retries allowed per request of a caller, from 0 to 1.
 func (budget *RetryBudget) SetRetryRatio(ratio float64) {
 	budget.perRequest.Store(int64(ratio * thousandthsPerRetry))
 }
 
-// Deposit adds the share of a retry that one live request contributes.
+// Deposit adds the share of a retry that one request of a caller contributes.
 func (budget *RetryBudget) Deposit() {
 	if budget.thousandths.Load() < budget.capacity.Load() {
 		budget.thousandths.Add(budget.perRequest.Load())
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -34,11 +34,11 @@
 }
 
 // Scheduler grants the permits of one service at one instance by predicted completion time: each request goes to the target
-// on which it is expected to finish first. While every target is full or slow, a request waits here as long as it can still
-// be answered before its soft deadline.
+// on which it is expected to finish first. While every target is full or slow, a request waits in the instance as long as it
+// can still be answered before its soft deadline.
 //
-// Targets are expected to slow down several times over for intervals of some 150 ms. A reading that is one second old
-// therefore predicts nothing, while a reading that is 50 ms old is the best predictor there is. Scheduler is safe for
+// Targets are expected to take several times as long for intervals of some 150 ms. A load reading that is one second old
+// therefore predicts nothing, while one that is 50 ms old is the best predictor there is. Scheduler is safe for
 // concurrent use.
 type Scheduler struct {
 	clock *clock.Clock
@@ -61,16 +61,16 @@
 	lastSlowAt       clock.Moment
 	slowdownModel    slowdownModel
 	concurrencyModel concurrencyModel
-	// ownInFlight is the number of permits in use, meanHold the moving average of the time for which one is in use.
-	ownInFlight int
-	meanHold    clock.Milliseconds
+	// ownInFlight is the number of permits in use, meanPermitDuration the moving average of the time for which one is in use.
+	ownInFlight        int
+	meanPermitDuration clock.Milliseconds
 	// coldShare is the share of the request rate of cold targets that this instance may use.
 	coldShare float64
 	// lastAcquire is when a permit was last requested.
 	lastAcquire clock.Moment
 	startShares startShares
-	// available indexes the targets that accept a request, reindexTimers holds when each target has to be reindexed because
-	// time has passed, and compareBuffer is reused by every choice.
+	// available indexes the targets that accept a request, reindexTimers holds the moments at which targets have to be reindexed
+	// because time has passed, and compareBuffer is reused by every choice.
 	available     availableTargets
 	reindexTimers timerQueue[candidate]
 	compareBuffer []*candidate
@@ -93,7 +93,7 @@
 	return &Scheduler{
 		lastSlowAt: options.Clock.Now(),
 		clock:      options.Clock, random: options.Rand, candidates: map[settings.TargetName]*candidate{},
-		classStats: map[settings.ClassName]*classStats{}, meanSlowdown: initialSlowdown, meanSpeed: 1 / initialSlowdown, meanHold: initialServiceTime, coldShare: 1,
+		classStats: map[settings.ClassName]*classStats{}, meanSlowdown: initialSlowdown, meanSpeed: 1 / initialSlowdown, meanPermitDuration: initialServiceTime, coldShare: 1,
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	existing.refill(now)
 	existing.config = config
-	existing.slotClass = existing.concurrencyModel.classOf(config.Slots)
+	existing.slotClass = existing.concurrencyModel.slotClassOf(config.Slots)
 	if existing.Address != config.Address || existing.DataCentre != config.DataCentre {
 		existing.Target = &Target{Name: config.Name, Address: config.Address, DataCentre: config.DataCentre}
 	}
@@ -181,7 +181,7 @@
 	learnRetryInterval = 30 * clock.Second
 )
 
-// SetDown sets whether probes fail to reach the target.
+// SetDown sets whether probes fail to reach the target. A target that is down gets no requests.
 func (scheduler *Scheduler) SetDown(name settings.TargetName, down bool) {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
@@ -222,7 +222,7 @@
 	scheduler.reindexAll(scheduler.clock.Now())
 }
 
-// Busy reports whether a permit was requested within the given time.
+// Busy reports whether a permit was requested within the given time before now.
 func (scheduler *Scheduler) Busy(within clock.Milliseconds) bool {
 	scheduler.mutex.Lock()
 	defer scheduler.mutex.Unlock()
--- a/internal/service/scheduler_bench_test.go
+++ b/internal/service/scheduler_bench_test.go
@@ -29,8 +29,8 @@
 	benchRequestDuration = 100 * clock.Millisecond
 	// benchStep is the time between two requests, in nanoseconds.
 	benchStep = 20_000
-	// benchReportEvery is the number of requests after which the targets report whose slowdown may have changed meanwhile.
-	benchReportEvery = 200
+	// benchRequestsPerReport is the number of requests after which the targets report whose slowdown may have changed meanwhile.
+	benchRequestsPerReport = 200
 )
 
 func newBenchFleet(targets int) *benchFleet {
@@ -68,9 +68,9 @@
 	fleet.nextReporting = (fleet.nextReporting + 1) % len(fleet.names)
 }
 
-// reportDue adds the readings that are due within the time of benchReportEvery requests.
+// reportDue adds the readings that are due within the time of benchRequestsPerReport requests.
 func (fleet *benchFleet) reportDue() {
-	passed := clock.Milliseconds(benchReportEvery) * benchStep / 1e6
+	passed := clock.Milliseconds(benchRequestsPerReport) * benchStep / 1e6
 	for range int(float64(len(fleet.names))*float64(passed/benchPeriod) + 1) {
 		fleet.report()
 	}
@@ -174,10 +174,10 @@
 	}
 }
 
-// pause advances the clock. Every benchReportEvery requests, targets report their load, which is not measured.
+// pause advances the clock. Every benchRequestsPerReport requests, targets report their load, which is not measured.
 func (fleet *benchFleet) pause(b *testing.B, count int) {
 	fleet.now.Add(benchStep)
-	if count%benchReportEvery != 0 {
+	if count%benchRequestsPerReport != 0 {
 		return
 	}
 	b.StopTimer()
--- a/internal/service/slowdowncycle.go
+++ b/internal/service/slowdowncycle.go
@@ -13,7 +13,7 @@
 
 // Learning of a slowdown cycle.
 const (
-	// maxChangeWidth is the longest time between two differing readings from which the moment of the change is learned.
+	// maxChangeWidth is the longest time between two differing readings for which the moment of the change is learned.
 	maxChangeWidth = 40 * clock.Millisecond
 	// maxChanges is the number of changes stored for each target.
 	maxChanges = 32
@@ -44,10 +44,10 @@
 	maxContradictions = 4.0
 	agreementCredit   = 0.08
 	// minPreciseChanges is the number of changes with a weight above minPreciseWeight from which a phase counts as settled.
-	// After that, one probe in verifyEvery is sent before a boundary.
-	minPreciseChanges = 5
-	minPreciseWeight  = 0.1
-	verifyEvery       = 10
+	// After that, one probe in probesPerVerification is sent before a boundary.
+	minPreciseChanges     = 5
+	minPreciseWeight      = 0.1
+	probesPerVerification = 10
 	// boundaryProbeMargin is the time before and after a possible change at which a target is probed. The two readings
 	// determine the phase precisely enough to follow a period that is slightly wrong or a clock that drifts.
 	boundaryProbeMargin = 8 * clock.Millisecond
@@ -109,7 +109,7 @@
 	}
 }
 
-// offset is the distance of a moment from the nearest boundary, negative before it.
+// offset returns the distance of a moment from the nearest boundary, negative before it.
 func (slowdownCycle *slowdownCycle) offset(at clock.Moment) clock.Milliseconds {
 	return clock.Milliseconds(math.Remainder(float64(at.Since(slowdownCycle.boundary)), float64(slowdownCycle.period)))
 }
@@ -150,13 +150,13 @@
 	return math.Floor(float64(at.Since(slowdownCycle.boundary)) / float64(slowdownCycle.period))
 }
 
-// untilBoundary is the time from now to the next boundary.
+// untilBoundary returns the time from now to the next boundary.
 func (slowdownCycle *slowdownCycle) untilBoundary(now clock.Moment) clock.Milliseconds {
 	next := (slowdownCycle.intervalAt(now) + 1) * float64(slowdownCycle.period)
 	return slowdownCycle.boundary.Add(clock.Milliseconds(next)).Since(now)
 }
 
-// sinceBoundary is the time from the last boundary to now.
+// sinceBoundary returns the time from the last boundary to now.
 func (slowdownCycle *slowdownCycle) sinceBoundary(now clock.Moment) clock.Milliseconds {
 	return slowdownCycle.period - slowdownCycle.untilBoundary(now)
 }
@@ -197,7 +197,7 @@
 		return until + boundaryProbeMargin
 	}
 	slowdownCycle.probes++
-	if slowdownCycle.preciseChanges < minPreciseChanges || slowdownCycle.probes%verifyEvery == 0 {
+	if slowdownCycle.preciseChanges < minPreciseChanges || slowdownCycle.probes%probesPerVerification == 0 {
 		return until - boundaryProbeMargin
 	}
 	return until + boundaryProbeMargin
@@ -235,13 +235,13 @@
 
 func searchPeriod(observed []*slowdownCycle, from, to, step clock.Milliseconds) (clock.Milliseconds, float64) {
 	var best clock.Milliseconds
-	var most float64
+	var bestAgreement float64
 	for period := from; period <= to; period += step {
-		if agreement := agreementOf(observed, period); agreement > most {
-			most, best = agreement, period
+		if agreement := agreementOf(observed, period); agreement > bestAgreement {
+			bestAgreement, best = agreement, period
 		}
 	}
-	return best, most
+	return best, bestAgreement
 }
 
 // agreementOf returns how well the changes of all targets fit a period, from 0 to 1.
--- a/internal/service/slowdowncycle_test.go
+++ b/internal/service/slowdowncycle_test.go
@@ -10,8 +10,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// The slowdown of a target changes at a fixed phase of a fixed period. The cycle must be found from delayed readings at
-// intervals; where changes come at arbitrary moments, none may be found.
+// The slowdown of a target changes at a fixed phase of a fixed period. The cycle must be found from readings about 30 ms
+// apart; where changes come at arbitrary moments, none may be found.
 func TestSlowdownCycleIsLearned(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -149,16 +149,16 @@
 }
 
 // Several instances use half of the permits of a service. Each knows the number of requests of the others only from
-// readings. If these arrive once per interval, two instances send requests to the same last slot, where one waits for the
-// other to end. While permits are plenty, such frequent probes would only add load.
+// readings. If these arrive once per slowdown interval, two instances send requests to the same last slot, where one waits for
+// the other to end. While most permits are free, more frequent probes would only add load.
 func TestScarcePermitsAreProbedOften(t *testing.T) {
 	cases := []struct {
 		name     string
 		acquired int
 		probeIn  clock.Milliseconds
 	}{
-		{"plenty", 2, 100 + boundaryProbeMargin},
-		{"scarce", 4, busyProbeInterval},
+		{"most permits free", 2, 100 + boundaryProbeMargin},
+		{"half of the permits in use", 4, busyProbeInterval},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/service/slowdownhistory.go
+++ b/internal/service/slowdownhistory.go
@@ -61,8 +61,8 @@
 	return interval.slowdown
 }
 
-// retrospectiveForecast returns the durations that both assumptions predict from the slowdowns recorded while a request ran.
-// It returns false if these are not all known.
+// retrospectiveForecast returns the durations that the two assumptions of durationForecast predict from the slowdowns recorded
+// while a request ran. It returns false if these slowdowns are not all known.
 func (candidate *candidate) retrospectiveForecast(since, now clock.Moment, serviceTime clock.Milliseconds, longRunSlowdown float64) (durationForecast, bool) {
 	first := candidate.recordedSlowdown(since)
 	if first == 0 || candidate.slowdownCycle.nearBoundary(since) {
--- a/internal/service/slowdownmodel.go
+++ b/internal/service/slowdownmodel.go
@@ -64,13 +64,13 @@
 
 // learn adds the duration of a request with the given usual service time. A request that was cancelled only shows that it
 // would have taken longer.
-func (slowdownModel *slowdownModel) learn(durationForecast durationForecast, serviceTime, held clock.Milliseconds, finished bool) {
-	if !finished && held < durationForecast.varying {
+func (slowdownModel *slowdownModel) learn(durationForecast durationForecast, serviceTime, duration clock.Milliseconds, finished bool) {
+	if !finished && duration < durationForecast.varying {
 		return
 	}
 	difference := float64((durationForecast.fixed - durationForecast.varying) / serviceTime)
-	held = min(held, maxDurationFactor*max(durationForecast.fixed, durationForecast.varying))
-	excess := float64((held - durationForecast.varying) / serviceTime)
+	duration = min(duration, maxDurationFactor*max(durationForecast.fixed, durationForecast.varying))
+	excess := float64((duration - durationForecast.varying) / serviceTime)
 	slowdownModel.product = evidenceDecay*slowdownModel.product + difference*excess
 	slowdownModel.square = evidenceDecay*slowdownModel.square + difference*difference
 	slowdownModel.total = evidenceDecay*slowdownModel.total + excess*excess
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -5,10 +5,10 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// bucketCount is the number of buckets into which targets are sorted by utilization; each has one bit of a 64-bit word.
+// bucketCount is the number of buckets of a bucketIndex; each has one bit of a 64-bit word.
 const bucketCount = 64
 
-// notIndexed is the bucket of a target that cannot accept another request.
+// notIndexed is the bucket of an item that is in no bucket, such as a target that cannot accept another request.
 const notIndexed = -1
 
 // Target is one backend server from the point of view of this instance. All fields after its identity are guarded by the
@@ -27,7 +27,7 @@
 	// limit is the maximum number of permits for all instances together.
 	limit int
 	// minShare is the number of permits that this instance may use regardless of the reports of other instances, since these
-	// are always slightly out of date. It is 0 on a target that must not be overrun.
+	// are always slightly out of date. It is 0 on a target that must not get more requests than its limit.
 	minShare int
 	// maxOwnInFlight is the maximum number of permits for this instance, which it never exceeds.
 	maxOwnInFlight int
@@ -59,25 +59,25 @@
 	return target.ownInFlight + target.penaltyPermits + target.othersInFlight
 }
 
-// effectiveLimit returns the limit in force: a target that keeps failing gets one request at a time.
-func (target *Target) effectiveLimit(failing bool) int {
-	if failing {
+// effectiveLimit returns the limit in force: a throttled target gets one request at a time.
+func (target *Target) effectiveLimit(throttled bool) int {
+	if throttled {
 		return min(target.limit, 1)
 	}
 	return target.limit
 }
 
 // computeBucket returns the bucket in which the target is indexed, or notIndexed.
-func (target *Target) computeBucket(failing bool) int {
+func (target *Target) computeBucket(throttled bool) int {
 	own := target.ownInFlight + target.penaltyPermits
-	limit := target.effectiveLimit(failing)
+	limit := target.effectiveLimit(throttled)
 	if own >= target.maxOwnInFlight || limit == 0 {
 		return notIndexed
 	}
 	if inFlight := target.inFlight(); inFlight < limit {
 		return inFlight * bucketCount / limit
 	}
-	if !failing && own < target.minShare {
+	if !throttled && own < target.minShare {
 		return bucketCount - 1
 	}
 	return notIndexed
--- a/internal/service/waitforfast.go
+++ b/internal/service/waitforfast.go
@@ -3,11 +3,11 @@
 import "github.com/jaywheel/jaywheel/pkg/clock"
 
 // A request that would start on a slow target can wait for a fast one instead. There are two kinds of service:
-//   - A request keeps the speed at which it started. One that starts on a slow target then uses a permit for several times as long:
-//     with a quarter of the targets slow at any moment, such requests would use half of all permits, and under load the throughput
+//   - A request keeps the slowdown at which it started (fixed). One that starts on a slow target then uses a permit for several times
+//     as long: with a quarter of the targets slow at any moment, such requests would use half of all permits, and under load the throughput
 //     of the service would be halved.
-//   - A request follows the current speed of its target. A slowdown interval then delays it by no more than the rest of the interval,
-//     and no request waits.
+//   - The slowdown of a request varies with that of its target (varying). A slow interval then delays the request by no more than the
+//     rest of the interval, and no request waits.
 //
 // The Scheduler learns from completed requests which of the two applies.
 
@@ -54,31 +54,31 @@
 	}
 }
 
-// minWaitGain is the minimum ratio of the completion time on the slow target to that after a wait at which a request waits. It
-// is above 1 because a permit that is skipped stays unused meanwhile and the target may stay slow.
+// minWaitGain is the ratio from which a request waits: its duration on the slow target, divided by the wait plus its duration on
+// a fast target. It is above 1 because a permit that is skipped stays unused meanwhile and the target may stay slow.
 const minWaitGain = 1.5
 
-// shouldWaitForFast reports whether a request waits for a fast target instead of starting on the given slow one, where it would
-// complete after the given time. A request that cannot wait that long starts on the slow target if it would complete there
+// shouldWaitForFast reports whether a request waits for a fast target instead of starting on the given slow one, where it is
+// expected to take the given duration. A request that cannot wait that long starts on the slow target if it would complete there
 // before its deadline.
-func (scheduler *Scheduler) shouldWaitForFast(now clock.Moment, waiter *rankedWaiter, slow *candidate, completion clock.Milliseconds) bool {
+func (scheduler *Scheduler) shouldWaitForFast(now clock.Moment, waiter *rankedWaiter, slow *candidate, duration clock.Milliseconds) bool {
 	wait := slow.timeUntilFast(now)
 	if now.Add(wait) >= waiter.waitDeadline {
-		return now.Add(completion) > waiter.request.Deadline
+		return now.Add(duration) > waiter.request.Deadline
 	}
-	return completion > minWaitGain*(wait+scheduler.fastCompletionTime(waiter.classStats.serviceTime))
+	return duration > minWaitGain*(wait+scheduler.fastDuration(waiter.classStats.serviceTime))
 }
 
-// fastCompletionTime returns the expected duration of a request with the given usual duration that starts when a target has
+// fastDuration returns the expected duration of a request with the given usual duration that starts when a target has
 // just become fast.
-func (scheduler *Scheduler) fastCompletionTime(work clock.Milliseconds) clock.Milliseconds {
+func (scheduler *Scheduler) fastDuration(work clock.Milliseconds) clock.Milliseconds {
 	interval := defaultSlowdownPeriod
 	if scheduler.slowdownPeriod > 0 {
 		interval = scheduler.slowdownPeriod
 	}
-	followed := work
+	varying := work
 	if work > interval {
-		followed = interval + (work-interval)*clock.Milliseconds(scheduler.longRunSlowdown())
+		varying = interval + (work-interval)*clock.Milliseconds(scheduler.longRunSlowdown())
 	}
-	return scheduler.slowdownModel.weighted(durationForecast{fixed: work, varying: followed})
+	return scheduler.slowdownModel.weighted(durationForecast{fixed: work, varying: varying})
 }
--- a/internal/service/waitforfast_test.go
+++ b/internal/service/waitforfast_test.go
@@ -11,8 +11,8 @@
 )
 
 // Requests that start on a slow server take five times as long, either regardless of later changes of the server, or only until
-// it has recovered. A forecast by the wrong one of the two models sends requests where they are late, or makes them wait in
-// vain.
+// it has recovered. A forecast by the wrong one of the two assumptions sends requests to targets on which they are late, or makes
+// them wait in vain.
 func TestPaceIsLearnt(t *testing.T) {
 	const work = 100 * clock.Millisecond
 	slow := durationForecast{fixed: 5 * work, varying: 1.5 * work}
@@ -23,13 +23,13 @@
 		minimum  float64
 		maximum  float64
 	}{
-		{"kept", func(random *rand.Rand) clock.Milliseconds {
+		{"fixed slowdown", func(random *rand.Rand) clock.Milliseconds {
 			return slow.fixed * clock.Milliseconds(1+0.3*random.NormFloat64())
 		}, true, 0.85, 1},
-		{"followed", func(random *rand.Rand) clock.Milliseconds {
+		{"varying slowdown", func(random *rand.Rand) clock.Milliseconds {
 			return slow.varying * clock.Milliseconds(1+0.3*random.NormFloat64())
 		}, true, 0, 0.15},
-		{"cancelled long after the forecast by the target's speed", func(*rand.Rand) clock.Milliseconds { return 4 * work }, false, 0.65, 0.8},
+		{"cancelled long after the varying forecast", func(*rand.Rand) clock.Milliseconds { return 4 * work }, false, 0.65, 0.8},
 		{"cancelled early, which is no evidence", func(*rand.Rand) clock.Milliseconds { return work }, false, initialFixedWeight, initialFixedWeight},
 		{"delayed for another reason", func(*rand.Rand) clock.Milliseconds { return 100 * work }, true, 0.95, 1},
 	}
@@ -47,13 +47,13 @@
 }
 
 // The only server with a free permit is slow for another 60 of 150 ms. If requests that start slow stay slow, a request that
-// waits is answered long before one that does not. If requests follow the server's speed, waiting only leaves a permit unused.
+// waits ends long before one that does not. If the slowdown of requests varies with the server's, waiting only leaves a permit unused.
 // A request that cannot wait that long uses the slow server if it can complete there before its deadline, and is refused
 // immediately otherwise.
 func TestWaitForFastServer(t *testing.T) {
 	cases := []struct {
 		name          string
-		keptWeight    float64
+		fixedWeight   float64
 		slowdown      float64
 		deadline      clock.Milliseconds
 		expectWait    bool
@@ -73,7 +73,7 @@
 			scheduler.SetTargets([]TargetConfig{{Name: "one", Slots: 4, Owned: true, Usable: true, ColdRate: 10}})
 			for range 100 {
 				observed := durationForecast{fixed: 500, varying: 150}
-				scheduler.slowdownModel.learn(observed, 100, observed.varying+clock.Milliseconds(testCase.keptWeight)*(observed.fixed-observed.varying), true)
+				scheduler.slowdownModel.learn(observed, 100, observed.varying+clock.Milliseconds(testCase.fixedWeight)*(observed.fixed-observed.varying), true)
 			}
 			manual.Advance(clock.Second)
 			newReading := func(slowdown float64, steadyFor clock.Milliseconds) LoadReading {
