--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -135,7 +135,7 @@
 // includesSummaries reports whether the next heartbeat to the receiver contains member summaries: for some time after a change, and
 // periodically in case those heartbeats were lost. Summaries make up most of a heartbeat's bytes.
 func (members *Members) includesSummaries(to netip.AddrPort) bool {
-	if members.options.Clock.Now().Since(members.changedAt) < summariesAfterChange || members.sequence%summariesEvery == 0 {
+	if members.options.Clock.Now().Since(members.changedAt) < changeSummaryPeriod || members.sequence%heartbeatsPerSummaries == 0 {
 		return true
 	}
 	member, known := members.roster.findByAddress(to)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,8 +33,8 @@
 	// standbyInterval is the time between two heartbeats between a serving and a standby instance.
 	standbyInterval = clock.Second
 	standbyTimeout  = 3200 * clock.Millisecond
-	// queryTimeout is the time without a heartbeat after which a member counts as lost that is queried several times a second because no
-	// instance serves.
+	// queryTimeout is the time without a heartbeat after which a queried member counts as lost. Members are queried several times a
+	// second while no instance serves.
 	queryTimeout = 1600 * clock.Millisecond
 	// joinPeriod is how long an instance listens after its start before it may serve. A whole fleet starts within 0.3 s, and
 	// learning the other instances from a seed takes one round trip. A longer period would prevent two instances from serving one
@@ -47,10 +47,10 @@
 	// seedDiscoveryPeriod is how long after the start seeds that do not answer are contacted at joinInterval: after a restart of the whole
 	// fleet the seeds may be the last to return, and no instance knows any other.
 	seedDiscoveryPeriod = 3 * clock.Second
-	// lostInterval is the time between two heartbeats to a lost instance, so that it is found when it returns. removeLostAfter is the
+	// lostInterval is the time between two heartbeats to a lost instance, so that it is found when it returns. lostRemovalTimeout is the
 	// time after which a lost instance is removed.
-	lostInterval    = 2 * clock.Second
-	removeLostAfter = clock.Minute
+	lostInterval       = 2 * clock.Second
+	lostRemovalTimeout = clock.Minute
 	// minVisibleToRemove is the fraction of the fleet that must be visible for lost members to be removed: an instance that has lost
 	// most of the others is more likely cut off than the only one left.
 	minVisibleToRemove = 0.5
@@ -66,25 +66,25 @@
 	// that know no other would all serve at once.
 	discoveryPeriod     = 250 * clock.Millisecond
 	firstContactTimeout = clock.Second
-	// promoteAfter is how long an instance serves before it promotes others: it must first have received heartbeats from all serving
-	// instances. promotionValidFor is how long a promotion that it sent is valid.
-	promoteAfter      = 400 * clock.Millisecond
-	promotionValidFor = 500 * clock.Millisecond
-	// demoteAfter is how long a serving instance must be surplus before it returns to standby.
-	demoteAfter = 1500 * clock.Millisecond
-	// retryUnreachableAfter is how long an instance that did not answer a request is not sent another.
-	retryUnreachableAfter = clock.Second
+	// promotionDelay is how long an instance serves before it promotes others: it must first have received heartbeats from all serving
+	// instances. promotionValidity is how long a promotion that it sent is valid.
+	promotionDelay    = 400 * clock.Millisecond
+	promotionValidity = 500 * clock.Millisecond
+	// demotionDelay is how long a serving instance must be surplus before it returns to standby.
+	demotionDelay = 1500 * clock.Millisecond
+	// unreachableRetryDelay is how long an instance that did not answer a request is not sent another.
+	unreachableRetryDelay = clock.Second
 )
 
 // minServing is the minimum number of serving instances of a fleet, however many data centres it has: after the loss of one, two
 // thirds of the capacity should remain.
 const minServing = 3
 
-// summariesAfterChange is how long after a change every heartbeat contains member summaries. Otherwise one heartbeat in summariesEvery
-// contains them.
+// changeSummaryPeriod is how long after a change every heartbeat contains member summaries. Otherwise one in heartbeatsPerSummaries
+// heartbeats contains them.
 const (
-	summariesAfterChange = 2500 * clock.Millisecond
-	summariesEvery       = 7
+	changeSummaryPeriod    = 2500 * clock.Millisecond
+	heartbeatsPerSummaries = 7
 )
 
 // maxSummaries is the maximum number of serving members in one heartbeat, and of members to promote; lost members get what is left of it.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// Guards against a killed serving instance that is not replaced. Callers that keep its address get no answer until they learn
+// Guards against a killed serving instance that is not replaced. Callers that keep its address get no response until they learn
 // another one, and its backend servers have no owner.
 func TestAnotherTakesOver(t *testing.T) {
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
@@ -219,7 +219,7 @@
 }
 
 // Guards against too many serving instances for long when a whole fleet restarts and the seeds return last. Each instance serves
-// without knowing others, answers for every backend server, probes all of them and starts the cold ones. This must end soon after
+// without knowing others, owns every backend server, probes all of them and starts the cold ones. This must end soon after
 // the seeds have returned.
 func TestSeedsComeBackLast(t *testing.T) {
 	fleet := newFleet(17, 3, []int{0, 1, 2}, equalSize)
@@ -425,7 +425,7 @@
 	fleet.start(one, 0)
 	fleet.run(clock.Second)
 	require.Zero(t, one.members.VisibleFraction(), "no seed is visible")
-	fleet.run(removeLostAfter)
+	fleet.run(lostRemovalTimeout)
 	require.InDelta(t, 0.25, one.members.VisibleFraction(), 0.01, "three seeds and itself")
 	fleet.partitioned = func(int, int) bool { return false }
 	fleet.run(10 * clock.Second)
--- a/internal/membership/promotion.go
+++ b/internal/membership/promotion.go
@@ -11,7 +11,7 @@
 // promotions returns the standby instances that should begin to serve. Serving instances decide, since they know all standby
 // instances; standby instances do not know each other, and several would take over from one lost instance.
 func (members *Members) promotions() []settings.InstanceName {
-	if members.state != Serving || members.options.Clock.Now().Since(members.stateSince) < promoteAfter {
+	if members.state != Serving || members.options.Clock.Now().Since(members.stateSince) < promotionDelay {
 		return nil
 	}
 	var promoted []settings.InstanceName
@@ -38,7 +38,7 @@
 		}
 	}
 	return serving < perDataCentre && slices.ContainsFunc(members.ServingPeers(), func(peer *Member) bool {
-		return now.Since(peer.lastSeen) < promotionValidFor && slices.Contains(peer.Promoted, members.options.Self.Name)
+		return now.Since(peer.lastSeen) < promotionValidity && slices.Contains(peer.Promoted, members.options.Self.Name)
 	})
 }
 
@@ -89,7 +89,7 @@
 	return slices.ContainsFunc(members.options.Seeds, func(seed netip.AddrPort) bool { return seed != members.self })
 }
 
-// ShouldStopServing reports whether this instance has been surplus for demoteAfter while it served.
+// ShouldStopServing reports whether this instance has been surplus for demotionDelay while it served.
 func (members *Members) ShouldStopServing() bool {
 	now := members.options.Clock.Now()
 	if members.state != Serving || members.ShouldServe() {
@@ -99,5 +99,5 @@
 	if members.surplusSince == 0 {
 		members.surplusSince = now
 	}
-	return now.Since(members.surplusSince) >= demoteAfter
+	return now.Since(members.surplusSince) >= demotionDelay
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -84,7 +84,7 @@
 			Identity: summary.Identity, Address: address, State: summary.State, discovered: now, lastSeen: members.initialLastSeen(now, summary.State),
 		})
 		return true
-	case summary.State == Lost && reporterState == Serving && member.State != Lost && now.Since(member.lastSeen) > members.indirectLossAfter(member):
+	case summary.State == Lost && reporterState == Serving && member.State != Lost && now.Since(member.lastSeen) > members.indirectLossTimeout(member):
 		member.State = Lost
 		members.roster.invalidate()
 		return true
@@ -96,10 +96,10 @@
 	return false
 }
 
-// indirectLossAfter returns the time without a heartbeat from a member after which an indirect report of its loss is accepted. If it
+// indirectLossTimeout returns the time without a heartbeat from a member after which an indirect report of its loss is accepted. If it
 // were less than the time between two of its heartbeats, such a report would keep circulating after the member's return: each
 // instance that accepts it passes it on.
-func (members *Members) indirectLossAfter(member *Member) clock.Milliseconds {
+func (members *Members) indirectLossTimeout(member *Member) clock.Milliseconds {
 	if member.State == Serving {
 		return servingRecency
 	}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -10,7 +10,7 @@
 
 // roster holds the other members, and lists that are read many times a second and change rarely. The lists are rebuilt only after a
 // change: when they were rebuilt for each read, they took 3 ms of processor time a second at each standby instance of a fleet of
-// 100, against 0.04 ms now (BenchmarkStandbySecond).
+// 100, against 0.04 ms now (BenchmarkStandbySecond of package fleet).
 type roster struct {
 	byName    map[settings.InstanceName]*Member
 	byAddress map[netip.AddrPort]*Member
--- a/internal/membership/states.go
+++ b/internal/membership/states.go
@@ -28,13 +28,13 @@
 	mayRemove := members.VisibleFraction() >= minVisibleToRemove
 	var expired []settings.InstanceName
 	for _, member := range members.roster.all {
-		silent := members.silentFor(now, member)
+		silent := members.silenceDuration(now, member)
 		switch {
 		case member.State == Joining && silent > 2*joinPeriod:
 			// The member is on standby by now. Standby instances send each other no heartbeats, so this one would otherwise count it as lost.
 			member.State = Standby
 			members.roster.invalidate()
-		case member.State == Lost && silent > removeLostAfter && mayRemove:
+		case member.State == Lost && silent > lostRemovalTimeout && mayRemove:
 			expired = append(expired, member.Identity.Name)
 		case member.State != Lost && silent > members.silenceTimeout(member):
 			member.State = Lost
@@ -76,10 +76,10 @@
 	}
 }
 
-// silentFor returns how long a member has sent no heartbeat although it should have. Standby instances send heartbeats only to those
-// among them that they query because no instance serves; while one does, it reports losses among them. If standby instances counted
+// silenceDuration returns how long a member has sent no heartbeat although it should have. Standby instances send each other heartbeats
+// only to query, while no instance serves; otherwise a serving instance reports which of them are lost. If standby instances counted
 // each other as lost for that silence, each would rank itself next to serve, and all would take over at once.
-func (members *Members) silentFor(now clock.Moment, member *Member) clock.Milliseconds {
+func (members *Members) silenceDuration(now clock.Moment, member *Member) clock.Milliseconds {
 	silent := now.Since(member.lastSeen)
 	if members.state == Serving && member.State == Serving {
 		// Before this instance served, the other one sent it heartbeats rarely.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -23,7 +23,7 @@
 func (members *Members) Reachable() []*Member {
 	now := members.options.Clock.Now()
 	return filter(members.Alive(), func(member *Member) bool {
-		return member.unreachableAt == 0 || now.Since(member.unreachableAt) >= retryUnreachableAfter
+		return member.unreachableAt == 0 || now.Since(member.unreachableAt) >= unreachableRetryDelay
 	})
 }
 
--- a/internal/membership/visibility.go
+++ b/internal/membership/visibility.go
@@ -22,7 +22,7 @@
 		known += seeds - members.countKnownSeeds()
 	}
 	fraction := float64(visible) / float64(known)
-	if seeds > 0 && now.Since(members.started) < removeLostAfter {
+	if seeds > 0 && now.Since(members.started) < lostRemovalTimeout {
 		fraction = min(fraction, float64(visibleSeeds)/float64(seeds))
 	}
 	return fraction
@@ -30,7 +30,7 @@
 
 // isVisible reports whether heartbeats have come from the member as recently as expected.
 func (members *Members) isVisible(now clock.Moment, member *Member) bool {
-	return member.State != Lost && members.silentFor(now, member) <= standbyRecency
+	return member.State != Lost && members.silenceDuration(now, member) <= standbyRecency
 }
 
 // countVisibleSeeds returns the number of seeds, and how many of them are visible, this instance included; 0 and 0 if there are no
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -14,8 +14,8 @@
 	// it admitted them in another part of a partitioned fleet, or long ago. A bucket for which no report came for that long has
 	// missed deductions, and adopts the level of the next report if that is lower.
 	lapseTimeout = clock.Second
-	// settledAfter is the age from which a bucket's level is reported for others to adopt.
-	settledAfter = 2 * clock.Second
+	// levelSettlingTime is the age from which a bucket's level is reported for others to adopt.
+	levelSettlingTime = 2 * clock.Second
 	// senderExpiry is how long the totals of a sender are kept after its last report.
 	senderExpiry = clock.Minute
 	// maxSenders is the maximum number of senders that are kept, maxCounts the maximum number of counts in one report.
@@ -36,7 +36,7 @@
 	Team TeamKey
 	// Total counts from the sender's start and wraps around.
 	Total uint32
-	// Level is the level of the sender's bucket, unknownLevel when that was created recently.
+	// Level is the level of the sender's bucket, unknownLevel when the bucket was created recently.
 	Level int16
 }
 
@@ -143,7 +143,7 @@
 
 // reportedLevel returns the level as it is reported.
 func (bucket *bucket) reportedLevel(now clock.Moment) int16 {
-	if now.Since(bucket.created) < settledAfter {
+	if now.Since(bucket.created) < levelSettlingTime {
 		return unknownLevel
 	}
 	return int16(min(max(bucket.level, math.MinInt16+1), math.MaxInt16))
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -72,8 +72,8 @@
 	return owners
 }
 
-// ownerShares counts the targets that each instance owns during the assignment: floor each, and one more for the first extra
-// instances that are chosen for another.
+// ownerShares counts the targets that each instance owns during the assignment. Each instance may own floor targets, and extra of
+// the instances may own one more; extra decreases as such targets are assigned.
 type ownerShares struct {
 	floor, extra int
 	owned        map[settings.InstanceName]int
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -27,7 +27,7 @@
 	ErrNoClass = errors.New("the service has no class for this method and path")
 )
 
-// Instance is an entry instance to which callers may be sent.
+// Instance is an instance of the fleet to which callers may be sent.
 type Instance struct {
 	Name       settings.InstanceName
 	Address    string
@@ -42,7 +42,7 @@
 	Budget     *service.RetryBudget
 	// Scheduler grants permits instead of Dispatcher if the targets report their slowdown.
 	Scheduler *service.Scheduler
-	// Serving are the instances that callers of the service are told to use.
+	// Serving are the instances whose addresses callers of the service are given.
 	Serving []Instance
 
 	rules []rule
@@ -64,12 +64,13 @@
 	return service.Settings.Queue.RetryAfter
 }
 
-// SoftDeadline returns the moment until which an answer has its full value to a caller with the given remaining time.
-func (service *Service) SoftDeadline(class settings.ClassName, now clock.Moment, softDeadline, remaining clock.Milliseconds) clock.Moment {
+// SoftDeadline returns the moment until which a response has its full value to a caller with the given remaining time.
+// softTimeout is the time from the caller's first attempt until then.
+func (service *Service) SoftDeadline(class settings.ClassName, now clock.Moment, softTimeout, remaining clock.Milliseconds) clock.Moment {
 	if service.Scheduler != nil {
-		return service.Scheduler.SoftDeadline(class, now, softDeadline, remaining)
+		return service.Scheduler.SoftDeadline(class, now, softTimeout, remaining)
 	}
-	return now.Add(softDeadline)
+	return now.Add(softTimeout)
 }
 
 // Class holds what request processing needs of a class.
