--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -209,7 +209,7 @@
 	return teams
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	for _, count := range benchmarkTeams {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			manual := clock.NewManual()
--- a/internal/service/waitforfast_test.go
+++ b/internal/service/waitforfast_test.go
@@ -13,7 +13,7 @@
 // Requests that start on a slow server take five times as long, either regardless of later changes of the server, or only until
 // it has recovered. A forecast by the wrong one of the two assumptions sends requests to targets on which they are late, or makes
 // them wait in vain.
-func TestPaceIsLearnt(t *testing.T) {
+func TestSlowdownModelIsLearned(t *testing.T) {
 	const work = 100 * clock.Millisecond
 	slow := durationForecast{fixed: 5 * work, varying: 1.5 * work}
 	cases := []struct {
