--- a/internal/service/acquire.go
+++ b/internal/service/acquire.go
@@ -40,6 +40,7 @@
 	return scheduler.slowdownMayVary(now) && candidate.expectedSlowdown(now, 1) >= slowThreshold
 }
 
+// acquireNow acquires a permit unless none is free or the request should wait for a fast target.
 func (scheduler *Scheduler) acquireNow(now clock.Moment, waiter *rankedWaiter) (Permit, bool) {
 	if waiter.late() && !scheduler.hasFreePermits(now) {
 		return Permit{}, false
@@ -58,7 +59,7 @@
 		chosen.tokens--
 	}
 	scheduler.ownInFlight++
-	scheduler.startShares.count(rank)
+	scheduler.rankShares.recordGrant(rank)
 	inFlight := chosen.ownInFlight + 1 + chosen.othersInFlight(now)
 	var explored *slotClass
 	if slotClass := chosen.slotClass; inFlight > slotClass.concurrencyLimit {
--- a/internal/service/admission.go
+++ b/internal/service/admission.go
@@ -25,20 +25,21 @@
 	maxLateWaitShare = 0.4
 )
 
-// startShares holds each rank's share of all started requests, as a moving average.
-type startShares [rankCount]float64
+// rankShares holds each rank's share of all granted permits, as a moving average.
+type rankShares [rankCount]float64
 
-func (startShares *startShares) count(started rank) {
-	for index := range startShares {
-		startShares[index] -= averageWeight * startShares[index]
+// recordGrant updates the shares with a permit granted to a request of the given rank.
+func (rankShares *rankShares) recordGrant(granted rank) {
+	for index := range rankShares {
+		rankShares[index] -= averageWeight * rankShares[index]
 	}
-	startShares[started] += averageWeight
+	rankShares[granted] += averageWeight
 }
 
-// remaining returns the share that is left for a rank by more urgent ones, at least minRemainingShare.
-func (startShares *startShares) remaining(rank rank) float64 {
+// remaining returns the share of the permits that is left for a rank by more urgent ones, at least minRemainingShare.
+func (rankShares *rankShares) remaining(rank rank) float64 {
 	remaining := 1.0
-	for _, share := range startShares[:rank] {
+	for _, share := range rankShares[:rank] {
 		remaining -= share
 	}
 	return max(remaining, minRemainingShare)
@@ -109,7 +110,7 @@
 		return 0
 	}
 	ahead := clock.Milliseconds(scheduler.waiting.ahead(rank))
-	availablePermits := float64(max(scheduler.ownInFlight, 1)) * scheduler.startShares.remaining(rank)
+	availablePermits := float64(max(scheduler.ownInFlight, 1)) * scheduler.rankShares.remaining(rank)
 	return (ahead + 1) * scheduler.meanPermitDuration / clock.Milliseconds(availablePermits) * waitBias
 }
 
--- a/internal/service/bucketindex.go
+++ b/internal/service/bucketindex.go
@@ -95,24 +95,24 @@
 	return gathered
 }
 
-// pickLowest returns an item of the lowest bucket, random among equals. The item that was tried before is returned only if
-// there is no other. It returns nil if the index is empty.
+// pickLowest returns an item of the lowest bucket, random among equals. The previous item, of an earlier attempt, is returned
+// only if there is no other. It returns nil if the index is empty.
 //
 // The choice among equals is random because with a fixed order all instances, each with the same view, would send their next
 // request to the same target.
-func (bucketIndex *bucketIndex[T]) pickLowest(random *rand.Rand, tried *bucketEntry[T]) *T {
+func (bucketIndex *bucketIndex[T]) pickLowest(random *rand.Rand, previous *bucketEntry[T]) *T {
 	for remaining := bucketIndex.notEmpty; remaining != 0; remaining &= remaining - 1 {
 		list := bucketIndex.buckets[bits.TrailingZeros64(remaining)]
 		start := random.IntN(len(list))
-		if list[start] != tried {
+		if list[start] != previous {
 			return list[start].item
 		}
 		if len(list) > 1 {
 			return list[(start+1)%len(list)].item
 		}
 	}
-	if tried != nil && tried.bucket != notIndexed {
-		return tried.item
+	if previous != nil && previous.bucket != notIndexed {
+		return previous.item
 	}
 	return nil
 }
--- a/internal/service/choice.go
+++ b/internal/service/choice.go
@@ -32,9 +32,9 @@
 
 // best returns the available target with the lowest cost of those compared, and the predicted duration of a usual request on
 // it. The target of an earlier attempt is returned only if there is no other.
-func (scheduler *Scheduler) best(now clock.Moment, classStats *classStats, tried *Target, despiteFailures bool) (*candidate, clock.Milliseconds) {
+func (scheduler *Scheduler) best(now clock.Moment, classStats *classStats, previous *Target, despiteFailures bool) (*candidate, clock.Milliseconds) {
 	comparison := comparison{
-		scheduler: scheduler, tried: tried, prediction: scheduler.predict(now, classStats),
+		scheduler: scheduler, previous: previous, prediction: scheduler.predict(now, classStats),
 	}
 	if len(scheduler.ordered) > maxFullComparison {
 		return comparison.bestIndexed(despiteFailures)
--- a/internal/service/comparison.go
+++ b/internal/service/comparison.go
@@ -30,21 +30,21 @@
 type comparison struct {
 	scheduler  *Scheduler
 	prediction prediction
-	// tried is the target of an earlier attempt, chosen only if there is no other.
-	tried          *Target
-	triedCandidate *candidate
-	triedDuration  clock.Milliseconds
-	best           *candidate
-	bestDuration   clock.Milliseconds
-	minCost        clock.Milliseconds
-	considered     int
+	// previous is the target of an earlier attempt, chosen only if there is no other.
+	previous          *Target
+	previousCandidate *candidate
+	previousDuration  clock.Milliseconds
+	best              *candidate
+	bestDuration      clock.Milliseconds
+	minCost           clock.Milliseconds
+	considered        int
 }
 
 // consider compares an available target with the best one so far. duration and longDuration are the predicted
 // durations of a usual and a long request on it.
 func (comparison *comparison) consider(candidate *candidate, duration, longDuration clock.Milliseconds, local bool) {
-	if candidate.Target == comparison.tried {
-		comparison.triedCandidate, comparison.triedDuration = candidate, duration
+	if candidate.Target == comparison.previous {
+		comparison.previousCandidate, comparison.previousDuration = candidate, duration
 		return
 	}
 	comparison.considered++
@@ -66,7 +66,7 @@
 // result returns the best target, nil if there is none, and the predicted duration of a usual request on it.
 func (comparison *comparison) result() (*candidate, clock.Milliseconds) {
 	if comparison.best == nil {
-		return comparison.triedCandidate, comparison.triedDuration
+		return comparison.previousCandidate, comparison.previousDuration
 	}
 	return comparison.best, comparison.bestDuration
 }
@@ -86,7 +86,7 @@
 			return chosen, duration
 		}
 		scheduler.reindex(now, chosen)
-		comparison.best, comparison.triedCandidate, comparison.considered = nil, nil, 0
+		comparison.best, comparison.previousCandidate, comparison.considered = nil, nil, 0
 	}
 }
 
--- a/internal/service/dispatcher.go
+++ b/internal/service/dispatcher.go
@@ -110,11 +110,12 @@
 type Dispatcher struct {
 	clock *clock.Clock
 
-	mutex            sync.Mutex
-	random           *rand.Rand
-	limits           Limits
-	targets          map[settings.TargetName]*Target
-	index            bucketIndex[Target]
+	mutex   sync.Mutex
+	random  *rand.Rand
+	limits  Limits
+	targets map[settings.TargetName]*Target
+	index   bucketIndex[Target]
+	// liveTargets is the number of targets that have not been removed, availableTargets of those that accept another request.
 	liveTargets      int
 	availableTargets int
 	waiting          waitQueue
@@ -126,6 +127,7 @@
 	meanPermitDuration clock.Milliseconds
 	// priorityShares holds each priority's share of all granted permits, as a moving average.
 	priorityShares [settings.LowestPriority + 1]float64
+	// failingTargets is the number of targets with at least failuresUntilThrottled consecutive failures.
 	failingTargets int
 	policy         Policy
 
--- a/internal/service/exhaustive_test.go
+++ b/internal/service/exhaustive_test.go
@@ -49,14 +49,14 @@
 
 func (exhaustiveChooser *exhaustiveChooser) best(permitRequest PermitRequest, despiteFailures bool) *candidate {
 	classStats := exhaustiveChooser.classStatsOf(permitRequest.Class)
-	var best, tried *candidate
+	var best, previous *candidate
 	var minCost clock.Milliseconds
 	for _, candidate := range exhaustiveChooser.ordered {
 		if !candidate.available(exhaustiveChooser.now, despiteFailures) {
 			continue
 		}
 		if candidate.Target == permitRequest.PreviousTarget {
-			tried = candidate
+			previous = candidate
 			continue
 		}
 		if cost := exhaustiveChooser.cost(candidate, classStats, exhaustiveChooser.random.Float64()); best == nil || cost < minCost {
@@ -64,7 +64,7 @@
 		}
 	}
 	if best == nil {
-		return tried
+		return previous
 	}
 	return best
 }
--- a/internal/service/loadreading.go
+++ b/internal/service/loadreading.go
@@ -26,7 +26,7 @@
 }
 
 // defaultSlowdownPeriod is used until the period of a service is known. A target shares its machine with others, so that its
-// work slows down several times over for an interval of some 150 ms and returns to the usual speed as suddenly. The weight
+// work takes several times as long for an interval of some 150 ms and returns to the usual duration as suddenly. The weight
 // of a reading therefore decreases to zero over one interval; after that, the mean over all targets is the better estimate.
 const defaultSlowdownPeriod = 150 * clock.Millisecond
 
--- a/internal/service/scheduler.go
+++ b/internal/service/scheduler.go
@@ -68,7 +68,7 @@
 	coldShare float64
 	// lastAcquire is when a permit was last requested.
 	lastAcquire clock.Moment
-	startShares startShares
+	rankShares  rankShares
 	// available indexes the targets that accept a request, reindexTimers holds the moments at which targets have to be reindexed
 	// because time has passed, and compareBuffer is reused by every choice.
 	available     availableTargets
@@ -265,10 +265,11 @@
 	})
 }
 
-func (scheduler *Scheduler) refuseAll(reason error) {
+// refuseAll refuses all waiting requests.
+func (scheduler *Scheduler) refuseAll(cause error) {
 	scheduler.waiting.each(func(waiter *rankedWaiter) bool {
 		scheduler.waiting.remove(waiter)
-		waiter.done <- scheduledGrant{err: &RefusedError{Cause: reason, RetryAfter: retryAfterNoTarget}}
+		waiter.done <- scheduledGrant{err: &RefusedError{Cause: cause, RetryAfter: retryAfterNoTarget}}
 		return true
 	})
 }
--- a/internal/service/target.go
+++ b/internal/service/target.go
@@ -12,7 +12,7 @@
 const notIndexed = -1
 
 // Target is one backend server from the point of view of this instance. All fields after its identity are guarded by the
-// Dispatcher's mutex.
+// Dispatcher's mutex. A Scheduler uses only the identity and keeps the other state of a target in a candidate.
 type Target struct {
 	Name       settings.TargetName
 	Address    string
