--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -221,7 +221,7 @@
 // Guards against too many serving instances for long when a whole fleet restarts and the seeds return last. Each instance serves
 // without knowing others, owns every backend server, probes all of them and starts the cold ones. This must end soon after
 // the seeds have returned.
-func TestSeedsComeBackLast(t *testing.T) {
+func TestSeedsReturnLast(t *testing.T) {
 	fleet := newFleet(17, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(5 * clock.Second)
 	for _, instance := range fleet.instances {
@@ -302,7 +302,7 @@
 
 // Guards against a serving instance whose own datagrams are lost while it receives those of others. The others replace it; when the
 // loss ends, one of the two returns to standby.
-func TestOneWayCut(t *testing.T) {
+func TestOneWayPartition(t *testing.T) {
 	fleet := newFleet(13, 3, []int{0, 1, 2}, equalSize)
 	fleet.run(5 * clock.Second)
 	silent := fleet.serving()[0]
@@ -378,7 +378,7 @@
 // Guards against a heartbeat to every instance for each change of backend servers, which come and go several times a second during
 // the release of a service: with a hundred instances these heartbeats would be most of what a serving instance sends. A new
 // configuration must still be announced to all at once.
-func TestOnlyConfigurationsAreToldToAllAtOnce(t *testing.T) {
+func TestOnlyConfigurationsAreAnnouncedToAllAtOnce(t *testing.T) {
 	cases := []struct {
 		name             string
 		revision         catalog.Revision
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -123,7 +123,7 @@
 }
 
 // Guards against a report that is counted twice, or that reverts a later one.
-func TestLateAndDoubledReports(t *testing.T) {
+func TestLateAndRepeatedReports(t *testing.T) {
 	manual := clock.NewManual()
 	limit := team.Team{Name: "brass", Rate: 100, Burst: 100}
 	local, remote := newTestLimiter(manual, limit), newTestLimiter(manual, limit)
@@ -176,7 +176,7 @@
 
 // Guards against a long refusal of a team after a network partition ends, for requests that the other part of the fleet admitted
 // during it.
-func TestRequestsOfACutCountNoMore(t *testing.T) {
+func TestRequestsDuringPartitionAreNotDeducted(t *testing.T) {
 	manual := clock.NewManual()
 	limit := team.Team{Name: "brass", Rate: 100, Burst: 100}
 	local, remote := newTestLimiter(manual, limit), newTestLimiter(manual, limit)
