--- a/internal/backendserver/errors.go
+++ b/internal/backendserver/errors.go
@@ -38,7 +38,7 @@
 
 // Error implements error.
 func (err *Error) Error() string {
-	return fmt.Sprintf("%s to backend server %s: %v", err.Step, err.Target, err.Cause)
+	return fmt.Sprintf("%s step at backend server %s: %v", err.Step, err.Target, err.Cause)
 }
 
 // Unwrap returns the cause.
--- a/internal/backendserver/servers_test.go
+++ b/internal/backendserver/servers_test.go
@@ -313,7 +313,7 @@
 				return
 			}
 			require.ErrorContains(t, err, testCase.problem)
-			require.ErrorContains(t, err, "report to backend server fees-1")
+			require.ErrorContains(t, err, "report step at backend server fees-1")
 		})
 	}
 }
--- a/internal/backendservertest/server.go
+++ b/internal/backendservertest/server.go
@@ -1,12 +1,12 @@
 // Package backendservertest provides a fake backend server for tests: an HTTP server on loopback with slots, a queue and a
 // cold start. It can drain, shed load, slow down, fail fast, and report its load late or wrongly, like a real one. It counts
-// what a load balancer guarantees: how often each request ran, and how many requests ran at once.
+// how often each request ran and how many requests ran at once, so that tests can check a load balancer's guarantees.
 //
 // # Usage
 //
 //	server, err := backendservertest.Start(backendservertest.Options{Name: "browsing-1", Slots: 6, ServiceTime: backendservertest.Lognormal(10, 0.5)})
 //	defer server.Close()
-//	server.SetBehaviour(backendservertest.Behaviour{SlowBy: 10})
+//	server.SetBehaviour(backendservertest.Behaviour{SlowdownFactor: 10})
 //	runs := server.RunsOf("payment-17")
 package backendservertest
 
@@ -39,7 +39,7 @@
 	LoadPath = "/load"
 	// HealthPath is the path of the health check. It responds with status 200, or 503 while the server drains.
 	HealthPath = "/health"
-	// SizeParameter is the size of the response body, in bytes.
+	// SizeParameter is the query parameter with the size of the response body, in bytes.
 	SizeParameter = "size"
 )
 
@@ -265,7 +265,7 @@
 	}
 }
 
-// run counts the request and takes its service time, or calls Options.Run.
+// run counts the request and waits for its service time, or calls Options.Run instead of waiting.
 func (server *Server) run(ctx context.Context, behaviour Behaviour, request *http.Request) {
 	inFlight := server.inFlight.Add(1)
 	defer server.inFlight.Add(-1)
@@ -333,7 +333,7 @@
 	}
 }
 
-const smallResponse = "a small answer of 32 bytes here\n"
+const smallResponse = "this response body has 32 bytes\n"
 
 var filler = func() []byte {
 	text := make([]byte, 64<<10)
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -58,8 +58,8 @@
 	}
 }
 
-func (tally *Tally) recordRefusalDelay(length clock.Milliseconds) {
-	tally.maxRefusalDelay = max(tally.maxRefusalDelay, length)
+func (tally *Tally) recordRefusalDelay(delay clock.Milliseconds) {
+	tally.maxRefusalDelay = max(tally.maxRefusalDelay, delay)
 }
 
 func (tally *Tally) merge(other *Tally) {
@@ -134,10 +134,11 @@
 	return result
 }
 
-// WriteText writes a table: each variant by class, with the lowest and highest fraction in time of all rounds.
+// WriteText writes a table: each variant by class, with the lowest and highest fraction in time of all rounds, and the longest time
+// from the arrival of a request at an instance to its rejection.
 func (result Result) WriteText(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "variant\tclass\tinTime\tlate\trefused\texpired\tleast inTime\tmost inTime\theld (ms)")
+	fmt.Fprintln(table, "variant\tclass\tinTime\tlate\trefused\texpired\tlowest inTime\thighest inTime\tmax refusal delay (ms)")
 	for _, variant := range result.Variants {
 		classes := append([]settings.ClassName{""}, slices.Sorted(maps.Keys(variant.Total.byClass))...)
 		for _, class := range classes {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -38,7 +38,7 @@
 			writeQuantiles(table, total.Classes[class])
 		}
 	}
-	fmt.Fprintln(table, "\nvariant\tquantile\tleast of rounds\tmedian of rounds\tmost of rounds")
+	fmt.Fprintln(table, "\nvariant\tquantile\tlowest of rounds\tmedian of rounds\thighest of rounds")
 	for _, variant := range result.Variants {
 		for _, percent := range []float64{50, 99} {
 			lowest, median, highest := variant.quantileRange(percent)
@@ -175,13 +175,13 @@
 		nines := float64(step) / pointsPerNine
 		value := quantile(histogram, 100*(1-share))
 		points = append(points, plotter.XY{X: nines, Y: max(value, 0.001)})
-		share *= tenthRoot
+		share *= slowerShareFactor
 	}
 	return points
 }
 
-// tenthRoot is the factor by which the share of slower calls shrinks with each step, 20 steps per nine: 10 to the power of -1/20.
-const tenthRoot = 0.8912509381337456
+// slowerShareFactor is the factor by which the share of slower calls shrinks with each step, 20 steps per nine: 10 to the power of -1/20.
+const slowerShareFactor = 0.8912509381337456
 
 // WriteFiles writes the report to report.txt, report.json and report.svg in the directory, which is created if necessary.
 func (result Result) WriteFiles(directory string) error {
