--- a/internal/caller/accept_queue_test.go
+++ b/internal/caller/accept_queue_test.go
@@ -12,7 +12,7 @@
 
 // Guards against callers that have sent requests and are reset because listening ends before their connections are accepted.
 func TestDrainTakesConnectionsThatWait(t *testing.T) {
-	listener, err := Listen("127.0.0.1:0", settings.Callers{MaxConnections: 2}, &makeFixture(t, fixtureService()).registry.Events)
+	listener, err := Listen("127.0.0.1:0", settings.Callers{MaxConnections: 2}, &newUnservedFixture(t, fixtureService()).registry.Events)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/caller/at_most_once_test.go
+++ b/internal/caller/at_most_once_test.go
@@ -29,10 +29,10 @@
 	faultCloseAtOnce  = "closed before the request was read"
 	faultCutRequest   = "closed within the request"
 	faultCutAfterRun  = "closed after the request ran"
-	faultCutAnswer    = "closed within the response"
+	faultCutResponse  = "closed within the response"
 	faultRefuse       = "refused as not run"
 	faultSilent       = "no response after the request ran"
-	faultCloseBetween = "answered, then closed"
+	faultCloseBetween = "closed after a complete response"
 )
 
 const fullResponse = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
@@ -116,7 +116,7 @@
 	case faultSilent:
 		_, _ = reader.Peek(1)
 		return false
-	case faultCutAnswer:
+	case faultCutResponse:
 		_, _ = io.WriteString(connection, fullResponse[:fault.cut%len(fullResponse)])
 		return false
 	}
@@ -134,7 +134,7 @@
 	fixture := newFixture(t, serviceSettings,
 		startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection), startRawBackend(t, servers.handleConnection))
 	kinds := []string{
-		faultNone, faultNone, faultNone, faultCloseAtOnce, faultCutRequest, faultCutAfterRun, faultCutAnswer, faultRefuse, faultCloseBetween, faultSilent,
+		faultNone, faultNone, faultNone, faultCloseAtOnce, faultCutRequest, faultCutAfterRun, faultCutResponse, faultRefuse, faultCloseBetween, faultSilent,
 	}
 	number := 0
 	rapid.Check(t, func(rapidT *rapid.T) {
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -181,7 +181,7 @@
 	maxStall   clock.Milliseconds
 	// readDeadline is the deadline of all reads together; the zero time means none.
 	readDeadline time.Time
-	// cappedByReadDeadline means that the deadline of the latest read is readDeadline, which is earlier than maxStall from then.
+	// cappedByReadDeadline means that the latest read was limited by readDeadline, because it came before the end of maxStall.
 	cappedByReadDeadline bool
 
 	// complete means that the body has been read to its end; bytesRead is the number of bytes read.
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -71,16 +71,16 @@
 		return call
 	}
 	require.False(t, upload(600<<10).body.replayable() && upload(600<<10).body.stream == nil, "a body longer than the dialect's limit is streamed")
-	var held []*call
+	var buffered []*call
 	for range maxBufferedBodyBytes / length {
 		call := upload(length)
 		require.True(t, call.body.replayable())
 		require.Nil(t, call.body.stream)
-		held = append(held, call)
+		buffered = append(buffered, call)
 	}
 	require.NotNil(t, upload(length).body.stream, "a body beyond the total limit is streamed")
 	require.Nil(t, upload(1<<10).body.stream, "a small body is always buffered")
-	for _, call := range held {
+	for _, call := range buffered {
 		call.body.finish(handler)
 	}
 	require.Zero(t, handler.bufferedBodyBytes.Load())
--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -57,7 +57,7 @@
 		AttemptHeader:     outcome.HeaderAttempt,
 		IsReservedHeader:  outcome.IsOwnHeader,
 		DiagnosticHeaders: true,
-		RetryAfter:        func(length clock.Milliseconds) string { return strconv.Itoa(ceilSeconds(length)) },
+		RetryAfter:        func(delay clock.Milliseconds) string { return strconv.Itoa(ceilSeconds(delay)) },
 		NotRun: func(response *http.Response, serviceSettings *settings.Service) bool {
 			return response.Header.Get(serviceSettings.NotRunHeader) != ""
 		},
--- a/internal/caller/drain.go
+++ b/internal/caller/drain.go
@@ -18,7 +18,7 @@
 // meanwhile.
 const drainRetryAfter = 20 * clock.Millisecond
 
-// drain has the time limits of requests while the instance is draining.
+// drain holds the time limits of requests while the instance is draining.
 type drain struct {
 	// Until acceptUntil, every request is accepted, with its deadline shortened to respondBy. After that, only requests whose
 	// own deadline is not later than respondBy are accepted.
--- a/internal/caller/drain_test.go
+++ b/internal/caller/drain_test.go
@@ -38,7 +38,7 @@
 		}
 		_, _ = io.WriteString(writer, "whole")
 	})
-	drainFixture.fixture = makeFixture(t, fixtureService(), address)
+	drainFixture.fixture = newUnservedFixture(t, fixtureService(), address)
 	limits := settings.Callers{MaxConnections: 100, MaxHeaderSize: 8 << 10, HeaderTimeout: 30 * 1000, IdleTimeout: 60 * 1000}
 	listener, err := Listen("127.0.0.1:0", limits, &drainFixture.registry.Events)
 	require.NoError(t, err)
@@ -125,7 +125,7 @@
 
 // acceptOne returns both ends of a connection to a Listener, the caller's end first.
 func acceptOne(t *testing.T) (net.Conn, *guardedConnection) {
-	listener, err := Listen("127.0.0.1:0", settings.Callers{MaxConnections: 1}, &makeFixture(t, fixtureService()).registry.Events)
+	listener, err := Listen("127.0.0.1:0", settings.Callers{MaxConnections: 1}, &newUnservedFixture(t, fixtureService()).registry.Events)
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	peer, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/caller/fixture_test.go
+++ b/internal/caller/fixture_test.go
@@ -50,7 +50,7 @@
 
 // newFixture starts an instance whose service has backend servers at the given addresses.
 func newFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
-	fixture := makeFixture(t, serviceSettings, addresses...)
+	fixture := newUnservedFixture(t, serviceSettings, addresses...)
 	limits := settings.Callers{MaxConnections: 100, MaxHeaderSize: 8 << 10, HeaderTimeout: 30 * 1000, IdleTimeout: 60 * 1000, MaxStall: 30 * 1000}
 	listener, err := Listen("127.0.0.1:0", limits, &fixture.registry.Events)
 	require.NoError(t, err)
@@ -61,8 +61,8 @@
 	return fixture
 }
 
-// makeFixture returns the same fixture without a listener.
-func makeFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
+// newUnservedFixture returns a fixture that does not listen, for tests that start their own server or need none.
+func newUnservedFixture(t testing.TB, serviceSettings *settings.Service, addresses ...string) *fixture {
 	fixture := &fixture{registry: metrics.NewRegistry(), traces: trace.NewRing(64)}
 	clock := clock.New()
 	servers := backendserver.NewServers(clock)
--- a/internal/caller/forward.go
+++ b/internal/caller/forward.go
@@ -14,7 +14,7 @@
 
 // forward sends the request until it is answered or may not be retried.
 func (call *call) forward(ctx context.Context) {
-	// failedAttempt has the last server error response; it is forwarded if no retry gets a better one.
+	// failedAttempt is the last attempt answered with a server error; its response is forwarded if no retry gets a better one.
 	var failedAttempt *attempt
 	for {
 		if errorResponse := call.acquirePermit(ctx); errorResponse != nil {
--- a/internal/caller/forward_test.go
+++ b/internal/caller/forward_test.go
@@ -17,7 +17,7 @@
 	"github.com/jaywheel/jaywheel/pkg/outcome"
 )
 
-// runOnceThenCut answers the first request on each connection, reads the second one completely and closes the connection.
+// runOnceThenCut responds to the first request on each connection, reads the second one completely and closes the connection.
 func runOnceThenCut(runs *atomic.Int64) func(net.Conn) {
 	return func(connection net.Conn) {
 		defer connection.Close()
@@ -245,7 +245,7 @@
 	require.EqualValues(t, 1, asked.Load())
 }
 
-// The trace of a request has each attempt: here one that was cut off and one that another server answered.
+// The trace of a request contains each attempt: here one that was cut off and one that another server answered.
 func TestRequestTrace(t *testing.T) {
 	cutting := startRawBackend(t, func(connection net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(connection))
--- a/internal/caller/headguard.go
+++ b/internal/caller/headguard.go
@@ -23,7 +23,8 @@
 // or a pipelined request, it stops inspecting the connection, and the connection is closed after its next chunked request.
 type headGuard struct {
 	// scanning means that the next bytes belong to a head.
-	scanning         bool
+	scanning bool
+	// desynchronized means that the guard no longer knows where the next head begins.
 	desynchronized   bool
 	sawContentLength bool
 	// sawPreface means that the first line was the HTTP/2 preface.
--- a/internal/caller/hedge_test.go
+++ b/internal/caller/hedge_test.go
@@ -10,8 +10,8 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Guards against a refusal that is forwarded as a response, and a permit that is released twice, because the hedged request may
-// have run.
+// If one of two hedged attempts was refused as not run and the other may have run, the merged attempt must count neither as not run
+// nor as answered. Guards against a refusal that counts as answered: it is forwarded as a response, and its permit is released twice.
 func TestTwoCopiesWithoutAnswerStayUnanswered(t *testing.T) {
 	cut := func(*testing.T) attempt { return attempt{err: errors.New("cut")} }
 	refused := func(t *testing.T) attempt {
@@ -19,7 +19,7 @@
 			writer.Header().Set("Not-Run", "1")
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		})
-		fixture := makeFixture(t, fixtureService(), address)
+		fixture := newUnservedFixture(t, fixtureService(), address)
 		servers := fixture.handler.options.Servers
 		request, err := http.NewRequest(http.MethodGet, "http://"+address, nil)
 		require.NoError(t, err)
@@ -39,10 +39,10 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			joined := mergeFailures(testCase.one(t), testCase.other(t))
-			require.False(t, joined.answered())
-			require.Equal(t, testCase.notRun, joined.notRun)
-			joined.discard()
+			merged := mergeFailures(testCase.one(t), testCase.other(t))
+			require.False(t, merged.answered())
+			require.Equal(t, testCase.notRun, merged.notRun)
+			merged.discard()
 		})
 	}
 }
--- a/internal/caller/listener.go
+++ b/internal/caller/listener.go
@@ -34,14 +34,14 @@
 	onUnfinished func()
 
 	mutex sync.Mutex
-	// open has the connections that carry one request at a time.
+	// open contains the open connections that are not known to be multiplexed.
 	open                map[*guardedConnection]struct{}
 	accepting, draining bool
 	// drained is closed when the listener is draining and no connection is open.
 	drained chan struct{}
 }
 
-// Listen listens for callers on the TCP address, and limits the number of open connections to limits.ConnectionsMost. It counts
+// Listen listens for callers on the TCP address, and limits the number of open connections to limits.MaxConnections. It counts
 // EventUnfinished in events. It returns an error if the address cannot be resolved or listened on.
 func Listen(address string, limits settings.Callers, events *expvar.Map) (*Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
--- a/internal/caller/refusal_test.go
+++ b/internal/caller/refusal_test.go
@@ -235,7 +235,7 @@
 
 // servePipe starts an instance without reachable backend servers, and returns its server and the caller's end of a connection.
 func servePipe(t *testing.T) (*http.Server, net.Conn) {
-	fixture := makeFixture(t, fixtureService(), "127.0.0.1:1")
+	fixture := newUnservedFixture(t, fixtureService(), "127.0.0.1:1")
 	limits := settings.Callers{MaxHeaderSize: 8 << 10, HeaderTimeout: 5000, IdleTimeout: 60000}
 	server := NewServer(fixture.handler, limits, &fixture.registry.Events)
 	listener := &pipeListener{connections: make(chan net.Conn)}
--- a/internal/caller/response_test.go
+++ b/internal/caller/response_test.go
@@ -237,14 +237,14 @@
 	serviceSettings.Queue.Length = 1000
 	fixture := newFixture(t, serviceSettings, startBackend(t, echo), startBackend(t, echo), startBackend(t, echo))
 	const callers = 200
-	answers := make(chan error, callers)
+	results := make(chan error, callers)
 	for number := range callers {
 		query := fmt.Sprintf("caller=%d", number)
 		request := fixture.newRequest(t, http.MethodGet, "/slots?"+query, http.NoBody)
 		go func() {
 			response, err := http.DefaultClient.Do(request)
 			if err != nil {
-				answers <- err
+				results <- err
 				return
 			}
 			defer response.Body.Close()
@@ -252,10 +252,10 @@
 			if err == nil && string(text) != strings.Repeat(query+" ", 100) {
 				err = fmt.Errorf("caller %d got %q", number, text)
 			}
-			answers <- err
+			results <- err
 		}()
 	}
 	for range callers {
-		require.NoError(t, <-answers)
+		require.NoError(t, <-results)
 	}
 }
--- a/internal/emulate/engine.go
+++ b/internal/emulate/engine.go
@@ -28,7 +28,7 @@
 	return engine.clock.Now()
 }
 
-// after schedules an action. A negative delay counts as 0.
+// after schedules an action to run after the delay. A negative delay counts as 0.
 func (engine *engine) after(delay clock.Milliseconds, action func()) {
 	engine.at(engine.now().Add(max(delay, 0)), action)
 }
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -69,7 +69,7 @@
 		experiment: experiment, variant: variant, engine: newEngine(), random: rand.New(rand.NewPCG(seed, 7)),
 		targetsByName: map[settings.TargetName]*target{}, tally: newTally(),
 	}
-	simulation.makeTargets(seed)
+	simulation.addTargets(seed)
 	for number := range variant.Instances {
 		scheduler := service.NewScheduler(service.SchedulerOptions{
 			Clock: &simulation.engine.clock.Clock, Rand: rand.New(rand.NewPCG(seed, uint64(100+number))),
@@ -91,7 +91,7 @@
 	return simulation.tally
 }
 
-func (simulation *simulation) makeTargets(seed uint64) {
+func (simulation *simulation) addTargets(seed uint64) {
 	for number := range simulation.experiment.Service.Targets {
 		target := &target{
 			name: settings.TargetName(fmt.Sprintf("target-%d", number)), service: &simulation.experiment.Service, engine: simulation.engine,
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against SIGHUP ending an instance that is starting. It does so until this package and its dependencies are
-// initialised, so that the package must depend on nothing but the standard library.
+// Guards against SIGHUP ending an instance that is starting. The signal ends the process until this package is initialised, after its
+// dependencies. The package must therefore depend on nothing but the standard library.
 func TestNothingIsInitialisedBefore(t *testing.T) {
 	text, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", ".").Output()
 	require.NoError(t, err)
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -68,40 +68,40 @@
 }
 
 // Record adds one call. Only the latency of answered calls is recorded: rejections are fast and would make the tail look better.
-func (measure *Stats) Record(class settings.ClassName, latency clock.Milliseconds, result outcome.Outcome) {
+func (stats *Stats) Record(class settings.ClassName, latency clock.Milliseconds, result outcome.Outcome) {
 	switch result {
 	case outcome.Answered:
-		measure.Answered++
+		stats.Answered++
 	case outcome.NotRun:
-		measure.NotRun++
+		stats.NotRun++
 		return
 	case outcome.Unknown:
-		measure.Unknown++
+		stats.Unknown++
 		return
 	}
 	microseconds := min(max(int64(latency*microsecondsPerMilli), 1), maxMicroseconds)
-	histogram := measure.Classes[class]
+	histogram := stats.Classes[class]
 	if histogram == nil {
 		histogram = newHistogram()
-		measure.Classes[class] = histogram
+		stats.Classes[class] = histogram
 	}
 	// RecordValue fails only for a value outside the range of the histogram.
 	_ = histogram.RecordValue(microseconds)
-	_ = measure.All.RecordValue(microseconds)
+	_ = stats.All.RecordValue(microseconds)
 }
 
 // Merge adds the measurements of other.
-func (measure *Stats) Merge(other *Stats) {
-	measure.Answered += other.Answered
-	measure.NotRun += other.NotRun
-	measure.Unknown += other.Unknown
-	measure.NotSent += other.NotSent
-	measure.All.Merge(other.All)
+func (stats *Stats) Merge(other *Stats) {
+	stats.Answered += other.Answered
+	stats.NotRun += other.NotRun
+	stats.Unknown += other.Unknown
+	stats.NotSent += other.NotSent
+	stats.All.Merge(other.All)
 	for class, histogram := range other.Classes {
-		if measure.Classes[class] == nil {
-			measure.Classes[class] = newHistogram()
+		if stats.Classes[class] == nil {
+			stats.Classes[class] = newHistogram()
 		}
-		measure.Classes[class].Merge(histogram)
+		stats.Classes[class].Merge(histogram)
 	}
 }
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -46,9 +46,9 @@
 	})
 }
 
-func countBelow(measure *Stats, milliseconds int64) int64 {
+func countBelow(stats *Stats, milliseconds int64) int64 {
 	count := int64(0)
-	for _, bucket := range measure.All.Distribution() {
+	for _, bucket := range stats.All.Distribution() {
 		if bucket.To < milliseconds*microsecondsPerMilli {
 			count += bucket.Count
 		}
--- a/internal/platformtest/platform.go
+++ b/internal/platformtest/platform.go
@@ -117,7 +117,7 @@
 func (fake *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	fake.reads.Add(1)
 	switch {
-	case fake.failed(writer):
+	case fake.serveFault(writer):
 	case request.URL.Path == platform.KeysPath:
 		fake.watch(writer, request, func() (platform.Index, any) {
 			keys := fake.keys()
@@ -133,8 +133,8 @@
 	}
 }
 
-// failed responds to the request and returns true if the current fault does not depend on the path.
-func (fake *Platform) failed(writer http.ResponseWriter) bool {
+// serveFault responds to the request and returns true if the current fault is the same for all paths.
+func (fake *Platform) serveFault(writer http.ResponseWriter) bool {
 	fake.mutex.Lock()
 	defer fake.mutex.Unlock()
 	switch fake.fault {
--- a/internal/sitetest/site.go
+++ b/internal/sitetest/site.go
@@ -319,14 +319,14 @@
 }
 
 // WithShortIntervals returns a copy of the settings with short intervals of heartbeats and failure detection, whose backend servers
-// are warm after fullAfter. It is for runs that test other things than warm-up.
-func WithShortIntervals(site *settings.Site, fullAfter clock.Milliseconds) *settings.Site {
+// are warm after rampUpTime. It is for runs that test anything but warm-up.
+func WithShortIntervals(site *settings.Site, rampUpTime clock.Milliseconds) *settings.Site {
 	shortened := *site
 	shortened.Fleet.HeartbeatInterval = 50 * clock.Millisecond
 	shortened.Fleet.SuspectAfter = 300 * clock.Millisecond
 	shortened.Services = map[settings.ServiceName]settings.Service{}
 	for name, service := range site.Services {
-		service.ColdStart.RampUpTime = fullAfter
+		service.ColdStart.RampUpTime = rampUpTime
 		shortened.Services[name] = service
 	}
 	return &shortened
