--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -16,7 +16,8 @@
 )
 
 // Limits of buffered bodies, which are read before a backend server is chosen. They can be sent again if a server states that
-// it did not run the request, and a caller that sends its body slowly holds no permit meanwhile. All other bodies are streamed.
+// it did not run the request, and a caller that sends its body slowly holds no permit meanwhile. All other bodies are streamed,
+// as are those of unknown length and those whose callers wait for "100 Continue".
 const (
 	// alwaysBufferedBytes is the length up to which bodies are buffered whatever the dialect's MaxReplayBodyBytes is.
 	alwaysBufferedBytes = 16 << 10
--- a/internal/caller/call.go
+++ b/internal/caller/call.go
@@ -155,12 +155,12 @@
 	return false
 }
 
-// callerTimeout returns the timeout that the request states, or maxTimeout if it states none.
-func (call *call) callerTimeout(maxTimeout clock.Milliseconds) (clock.Milliseconds, error) {
+// callerTimeout returns the timeout that the request states, or defaultTimeout if it states none.
+func (call *call) callerTimeout(defaultTimeout clock.Milliseconds) (clock.Milliseconds, error) {
 	name := call.handler.options.Dialect.TimeoutHeader
 	value := call.request.Header.Get(name)
 	if value == "" {
-		return maxTimeout, nil
+		return defaultTimeout, nil
 	}
 	milliseconds, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || milliseconds <= 0 {
--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -29,7 +29,7 @@
 }
 
 // hedge sends the request. If the first request's target is slow, it sends a hedged request to another target at the latest
-// time at which that one can still meet the soft deadline. The first usable response wins and the other request is cancelled.
+// time at which that one can still meet the soft deadline. It also sends one if the first request is overdue. The first usable response wins and the other request is cancelled.
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
 	first := call.permit
@@ -104,8 +104,8 @@
 	loser.discard()
 }
 
-// awaitFirst waits for the first request. It returns a permit for the hedged request if the first one is slow, or else the
-// result of the first one.
+// awaitFirst waits for the first request. It returns a permit for the hedged request if the first one is slow or overdue, or
+// else the result of the first one.
 func (call *call) awaitFirst(ctx context.Context, first service.Permit, results <-chan attempt) (service.Permit, *attempt) {
 	expected := call.route.Service.Scheduler.ExpectedDuration(call.route.Class.Name)
 	latestStart := call.softDeadline.Add(-service.CallerNetworkDelay - hedgeMarginFactor*expected)
--- a/internal/emulate/experiment.go
+++ b/internal/emulate/experiment.go
@@ -59,9 +59,10 @@
 	// fraction of the mean.
 	MeanServiceTime clock.Milliseconds `json:"work"`
 	Deviation       float64            `json:"spread"`
-	SoftTimeout     clock.Milliseconds `json:"aim"`
-	Deadline        clock.Milliseconds `json:"deadline"`
-	Priority        settings.Priority  `json:"priority"`
+	// SoftTimeout is the latency up to which a response counts as in time, Timeout the longest timeout of a caller.
+	SoftTimeout clock.Milliseconds `json:"aim"`
+	Timeout     clock.Milliseconds `json:"deadline"`
+	Priority    settings.Priority  `json:"priority"`
 	// MaxRetries is the number of times that a caller retries after a rejection.
 	MaxRetries int `json:"returns"`
 }
@@ -155,7 +156,7 @@
 
 func (class *Class) valid() bool {
 	return class.Name != "" && class.Rate > 0 && class.MeanServiceTime > 0 && class.Deviation >= 0 &&
-		class.SoftTimeout > 0 && class.Deadline >= class.SoftTimeout && class.MaxRetries >= 0 &&
+		class.SoftTimeout > 0 && class.Timeout >= class.SoftTimeout && class.MaxRetries >= 0 &&
 		class.Priority >= 0 && class.Priority <= settings.LowestPriority
 }
 
--- a/internal/emulate/overload_test.go
+++ b/internal/emulate/overload_test.go
@@ -12,7 +12,7 @@
 func browsing(perSecond float64, instances int) *Experiment {
 	return &Experiment{
 		Service:  Service{Targets: 12, Slots: 6, Queue: 12, Knee: 0.8, KneeSlowdown: 1.7, Noise: Noise{SlowProbability: 0.25, Slowdown: 5, Interval: 150}},
-		Classes:  []Class{{Name: "browse", Rate: perSecond, MeanServiceTime: 90, Deviation: 0.3, SoftTimeout: 250, Deadline: 1200, Priority: 2, MaxRetries: 1}},
+		Classes:  []Class{{Name: "browse", Rate: perSecond, MeanServiceTime: 90, Deviation: 0.3, SoftTimeout: 250, Timeout: 1200, Priority: 2, MaxRetries: 1}},
 		Duration: 17 * clock.Second, MeasureFrom: 5 * clock.Second, Rounds: 1, Seed: 1,
 		Variants: []Variant{{Name: "as built", Instances: instances, ReadingDelay: 15}},
 	}
@@ -23,7 +23,7 @@
 func statements(perSecond float64) *Experiment {
 	return &Experiment{
 		Service:  Service{Targets: 9, Slots: 2, Queue: 8, Knee: 1, KneeSlowdown: 1, Noise: Noise{SlowProbability: 0.35, Slowdown: 5, Interval: 150}},
-		Classes:  []Class{{Name: "statement", Rate: perSecond, MeanServiceTime: 160, Deviation: 0.3, SoftTimeout: 400, Deadline: 1200, Priority: 2, MaxRetries: 1}},
+		Classes:  []Class{{Name: "statement", Rate: perSecond, MeanServiceTime: 160, Deviation: 0.3, SoftTimeout: 400, Timeout: 1200, Priority: 2, MaxRetries: 1}},
 		Duration: 21 * clock.Second, MeasureFrom: 5 * clock.Second, Rounds: 1, Seed: 1,
 		Variants: []Variant{{Name: "as built", Instances: 3, ReadingDelay: 15}},
 	}
--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -27,7 +27,7 @@
 	probeIntervalUnknown  = 45 * clock.Millisecond
 	// continuousProbeInterval is the time between probes of a variant with ContinuousProbes.
 	continuousProbeInterval = 5 * clock.Millisecond
-	// timeoutSpread is the range of callers' timeouts within a class: from (1 - timeoutSpread) * Deadline to Deadline.
+	// timeoutSpread is the range of callers' timeouts within a class: from (1 - timeoutSpread) * Timeout to Timeout.
 	timeoutSpread = 0.17
 	// minServiceTimeFactor is the shortest service time as a fraction of the mean.
 	minServiceTimeFactor = 0.2
@@ -84,7 +84,7 @@
 	longest := clock.Milliseconds(0)
 	for index := range experiment.Classes {
 		class := &experiment.Classes[index]
-		longest = max(longest, class.Deadline)
+		longest = max(longest, class.Timeout)
 		simulation.startArrivals(class, rand.New(rand.NewPCG(seed, uint64(1000+index))))
 	}
 	simulation.engine.run(clock.Moment(experiment.Duration + longest))
@@ -253,7 +253,7 @@
 
 func (call *call) begin() {
 	call.startedAt = call.simulation.engine.now()
-	timeout := call.class.Deadline * clock.Milliseconds(1-timeoutSpread*call.random.Float64())
+	timeout := call.class.Timeout * clock.Milliseconds(1-timeoutSpread*call.random.Float64())
 	call.deadline = call.startedAt.Add(timeout)
 	call.serviceTime = call.class.MeanServiceTime *
 		clock.Milliseconds(max(1+call.class.Deviation*call.random.NormFloat64(), minServiceTimeFactor))
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -36,7 +36,7 @@
 	Client *Client
 	Events *expvar.Map
 	Log    zerolog.Logger
-	// Jitter returns a random number between 0 and 1 by which each backoff varies.
+	// Jitter returns a random number from 0 to 1. It places each pause between a half and the whole of the backoff.
 	Jitter func() float64
 }
 
--- a/internal/platformtest/platform.go
+++ b/internal/platformtest/platform.go
@@ -35,7 +35,8 @@
 	FaultDown
 	// FaultGarbage responds with invalid JSON.
 	FaultGarbage
-	// FaultStale responds with the content from when the fault began and ignores later changes.
+	// FaultStale responds to watches with the keys and the list of instances from when the fault began. Reads of a document
+	// return its current text.
 	FaultStale
 	// FaultEmpty responds with empty collections and a high index.
 	FaultEmpty
