--- a/internal/caller/hedge.go
+++ b/internal/caller/hedge.go
@@ -29,7 +29,8 @@
 }
 
 // hedge sends the request. If the first request's target is slow, it sends a hedged request to another target at the latest
-// time at which that one can still meet the soft deadline. It also sends one if the first request is overdue. The first usable response wins and the other request is cancelled.
+// time at which that one can still meet the soft deadline. It also sends one if the first request is
+// overdue. The first usable response wins and the other request is cancelled.
 func (call *call) hedge(ctx context.Context) attempt {
 	results := make(chan attempt, 2)
 	first := call.permit
