--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -43,7 +43,8 @@
 	// that the request can be retried if the response is truncated. With 0, every response is forwarded as it arrives.
 	MaxBufferedResponseBytes int64
 	// MaxReplayBodyBytes is the length up to which a request's body is read completely before a backend server is chosen.
-	// Values up to alwaysBufferedBytes have no effect: bodies of that length are always read first.
+	// Values up to alwaysBufferedBytes have no effect: bodies of that length are always read first, unless
+	// they are always streamed (unknown length, or the caller waits for "100 Continue").
 	MaxReplayBodyBytes int64
 	// IsReservedPath reports whether jaywheel serves the path itself.
 	IsReservedPath func(path string) bool
