--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -16,7 +16,8 @@
 )
 
 // Limits of buffered bodies, which are read before a backend server is chosen. They can be sent again if a server states that
-// it did not run the request, and a caller that sends its body slowly holds no permit meanwhile. All other bodies are streamed.
+// it did not run the request, and a caller that sends its body slowly holds no permit meanwhile. All other bodies are streamed,
+// as are those of unknown length and those whose callers wait for "100 Continue".
 const (
 	// alwaysBufferedBytes is the length up to which bodies are buffered whatever the dialect's MaxReplayBodyBytes is.
 	alwaysBufferedBytes = 16 << 10
@@ -181,7 +182,7 @@
 	maxStall   clock.Milliseconds
 	// readDeadline is the deadline of all reads together; the zero time means none.
 	readDeadline time.Time
-	// cappedByReadDeadline means that the deadline of the latest read is readDeadline, which is earlier than maxStall from then.
+	// cappedByReadDeadline means that the latest read was limited by readDeadline, because it came before the end of maxStall.
 	cappedByReadDeadline bool
 
 	// complete means that the body has been read to its end; bytesRead is the number of bytes read.
--- a/internal/caller/dialect.go
+++ b/internal/caller/dialect.go
@@ -43,7 +43,8 @@
 	// that the request can be retried if the response is truncated. With 0, every response is forwarded as it arrives.
 	MaxBufferedResponseBytes int64
 	// MaxReplayBodyBytes is the length up to which a request's body is read completely before a backend server is chosen.
-	// Values up to alwaysBufferedBytes have no effect: bodies of that length are always read first.
+	// Values up to alwaysBufferedBytes have no effect: bodies of that length are always read first, unless
+	// they are always streamed (unknown length, or the caller waits for "100 Continue").
 	MaxReplayBodyBytes int64
 	// IsReservedPath reports whether jaywheel serves the path itself.
 	IsReservedPath func(path string) bool
@@ -57,7 +58,7 @@
 		AttemptHeader:     outcome.HeaderAttempt,
 		IsReservedHeader:  outcome.IsOwnHeader,
 		DiagnosticHeaders: true,
-		RetryAfter:        func(length clock.Milliseconds) string { return strconv.Itoa(ceilSeconds(length)) },
+		RetryAfter:        func(delay clock.Milliseconds) string { return strconv.Itoa(ceilSeconds(delay)) },
 		NotRun: func(response *http.Response, serviceSettings *settings.Service) bool {
 			return response.Header.Get(serviceSettings.NotRunHeader) != ""
 		},
