--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -95,7 +95,7 @@
 	// staleRequested is whether ReadStale was called, readingStale whether a stale read is in progress, which a newer view of any
 	// peer replaces.
 	staleRequested, readingStale bool
-	lastContact                  clock.Moment
+	lastResponse                 clock.Moment
 	failing                      bool
 	// watching is whether the call in progress waits for changes.
 	watching bool
@@ -260,9 +260,9 @@
 func (reader *Reader) recordAnswer() {
 	now := reader.options.Clock.Now()
 	reader.mutex.Lock()
-	silent := now.Since(reader.lastContact)
-	first := reader.lastContact == 0
-	reader.lastContact = now
+	silent := now.Since(reader.lastResponse)
+	first := reader.lastResponse == 0
+	reader.lastResponse = now
 	reader.failing = false
 	reader.mutex.Unlock()
 	if reader.failures > 0 {
--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -420,7 +420,7 @@
 		fixture.reader.ReadStale()
 		advance(100)
 		require.Equal(t, []string{"one", "two"}, fixture.names())
-		require.Zero(t, fixture.reader.LastContact(), "a stale read does not show that the source answers")
+		require.Zero(t, fixture.reader.LastResponse(), "a stale read does not show that the source answers")
 		fixture.mutex.Lock()
 		fixture.peer = &View{Revision: fixture.view.Revision + 2, Configuration: &Configuration{Version: 9}, Servers: []Server{{Name: "three"}}}
 		fixture.mutex.Unlock()
--- a/internal/catalog/retry.go
+++ b/internal/catalog/retry.go
@@ -24,8 +24,8 @@
 	reader.mutex.Lock()
 	reader.failing = true
 	reader.mutex.Unlock()
-	silent := reader.options.Clock.Now().Since(reader.LastContact())
-	if reader.LastContact() == 0 || silent > peerFallbackAfter {
+	silent := reader.options.Clock.Now().Since(reader.LastResponse())
+	if reader.LastResponse() == 0 || silent > peerFallbackAfter {
 		reader.readPeer(ctx, false)
 	}
 	reader.pause(ctx, reader.backoff())
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -80,11 +80,11 @@
 	reader.signal()
 }
 
-// LastContact returns when the source last answered, 0 before its first answer.
-func (reader *Reader) LastContact() clock.Moment {
+// LastResponse returns when the source last answered, 0 before its first answer.
+func (reader *Reader) LastResponse() clock.Moment {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.lastContact
+	return reader.lastResponse
 }
 
 // Failing reports whether the last call to the source was refused or not answered.
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -101,7 +101,7 @@
 // Names of the events that the control loop counts.
 const (
 	EventInboxFull = "control.inboxFull"
-	EventFrozen    = "control.frozen"
+	EventSuspended = "control.frozen"
 	EventBehind    = "control.behind"
 )
 
@@ -130,15 +130,15 @@
 
 // CatalogReader are the functions of the catalog reader that the control loop calls.
 type CatalogReader struct {
-	SetRole func(catalog.Role)
-	Follow  func(catalog.Revision)
-	Refresh func()
+	SetRole         func(catalog.Role)
+	SetPeerRevision func(catalog.Revision)
+	Refresh         func()
 	// CatchUp has the reader catch up with a revision that a serving peer has had for a while.
 	CatchUp func(catalog.Revision)
 	// ReadStale reads the state that the store held some seconds ago.
-	ReadStale   func()
-	LastContact func() clock.Moment
-	Failing     func() bool
+	ReadStale    func()
+	LastResponse func() clock.Moment
+	Failing      func() bool
 	// PeerFailing reports whether peers failed to deliver their view when they were last asked.
 	PeerFailing func() bool
 }
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -61,9 +61,9 @@
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
 	fixture.controller.SetCatalogReader(CatalogReader{
-		SetRole: func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollower }, Follow: func(revision catalog.Revision) { fixture.followed = revision },
+		SetRole: func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollower }, SetPeerRevision: func(revision catalog.Revision) { fixture.followed = revision },
 		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
-		LastContact: func() clock.Moment { return 0 }, Failing: func() bool { return false },
+		LastResponse: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
 	})
 	return fixture
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -82,8 +82,8 @@
 		SetJobs: func(jobs []sensing.Job) { node.jobs = jobs },
 	})
 	node.controller.SetCatalogReader(CatalogReader{
-		SetRole: func(catalog.Role) {}, Follow: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
-		LastContact: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
+		SetRole: func(catalog.Role) {}, SetPeerRevision: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
+		LastResponse: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
 	})
 	node.controller.applyView(newColdView(ownedTargets, fixtureDataCentres))
 }
--- a/internal/fleet/reader_role.go
+++ b/internal/fleet/reader_role.go
@@ -21,9 +21,9 @@
 	case readsStore:
 		controller.followPeerOnStoreFailure(now)
 	case controller.view == nil:
-		controller.catalogReader.Follow(controller.members.NewestConfiguredRevision())
+		controller.catalogReader.SetPeerRevision(controller.members.NewestConfiguredRevision())
 	case newest > controller.view.Revision && (now.Since(controller.viewAppliedAt) >= followInterval || controller.versionBehind()):
-		controller.catalogReader.Follow(newest)
+		controller.catalogReader.SetPeerRevision(newest)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	if known := controller.members.NewestConfiguredRevision(); known > controller.view.Revision {
 		controller.nextStoreFailureFollow = now.Add(storeFailureFollowInterval)
-		controller.catalogReader.Follow(known)
+		controller.catalogReader.SetPeerRevision(known)
 	}
 }
 
@@ -102,7 +102,7 @@
 			version = controller.view.Configuration.Version
 		}
 	}
-	contact := controller.catalogReader.LastContact()
+	contact := controller.catalogReader.LastResponse()
 	fresh := controller.role != catalog.RoleFollower && !controller.catalogReader.Failing() && contact > 0 && now.Since(contact) < maxFreshContactAge
 	controller.members.SetCatalog(revision, version, fresh)
 }
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -66,7 +66,7 @@
 	if jumped < suspendThreshold {
 		return
 	}
-	controller.options.Registry.Events.Add(EventFrozen, 1)
+	controller.options.Registry.Events.Add(EventSuspended, 1)
 	controller.options.Log.Warn().Stringer("for", jumped).Msg("machine was suspended; discarding the routing table and reading the whole catalog again")
 	controller.table.Store(nil)
 	controller.viewAppliedAt = 0
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -67,8 +67,8 @@
 		Clock: own, Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: rand.New(rand.NewPCG(random.Uint64(), 2)).Float64,
 	})
 	process.controller.SetCatalogReader(CatalogReader{
-		SetRole: reader.SetRole, Follow: reader.SetPeerRevision, Refresh: reader.Refresh, CatchUp: reader.CatchUp, ReadStale: reader.ReadStale,
-		LastContact: reader.LastContact, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
+		SetRole: reader.SetRole, SetPeerRevision: reader.SetPeerRevision, Refresh: reader.Refresh, CatchUp: reader.CatchUp, ReadStale: reader.ReadStale,
+		LastResponse: reader.LastResponse, Failing: reader.Failing, PeerFailing: reader.PeerFailing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	process.cancel = cancel
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -159,8 +159,8 @@
 		Clock: gateway.clock, Events: events, Log: gateway.options.Log, Jitter: rand.Float64,
 	})
 	gateway.controller.SetCatalogReader(fleet.CatalogReader{
-		SetRole: gateway.reader.SetRole, Follow: gateway.reader.SetPeerRevision, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
-		ReadStale: gateway.reader.ReadStale, LastContact: gateway.reader.LastContact, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
+		SetRole: gateway.reader.SetRole, SetPeerRevision: gateway.reader.SetPeerRevision, Refresh: gateway.reader.Refresh, CatchUp: gateway.reader.CatchUp,
+		ReadStale: gateway.reader.ReadStale, LastResponse: gateway.reader.LastResponse, Failing: gateway.reader.Failing, PeerFailing: gateway.reader.PeerFailing,
 	})
 }
 
