--- a/internal/catalog/encoding.go
+++ b/internal/catalog/encoding.go
@@ -12,14 +12,14 @@
 // ErrEncoding means that data from a peer is not an encoded update.
 var ErrEncoding = errors.New("update not understood")
 
-// The first byte of an encoded update is whether the CBOR after it is plain or compressed.
+// The first byte of an encoded update, which says whether the CBOR data after it is plain or compressed.
 const (
 	formPlain   byte = 'p'
 	formDeflate byte = 'd'
 )
 
-// compressionThreshold is the length in bytes from which an update is compressed: for a few backend servers a compressor is not
-// worth its memory.
+// compressionThreshold is the length in bytes from which an update is compressed: for an update of a few backend servers, compression is not
+// worth the memory that it takes.
 const compressionThreshold = 4 << 10
 
 // maxUpdateSize bounds the length in bytes of an update after decompression.
@@ -62,7 +62,7 @@
 	return encoded.Bytes(), nil
 }
 
-// DecodeUpdate reads an encoded update to its end. The error is ErrEncoding, or that of the reader.
+// DecodeUpdate reads an encoded update until the end of the reader. The error is ErrEncoding, or that of the reader.
 func DecodeUpdate(reader io.Reader) (Update, error) {
 	var update Update
 	var form [1]byte
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -9,7 +9,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// followOnce reads a peer's view when it is newer, and waits until there is something to do.
+// followOnce reads a peer's view when it is newer, and otherwise waits until the reader is woken or a retained server is to be dropped.
 func (reader *Reader) followOnce(ctx context.Context) {
 	reader.complete = false
 	if reader.dropLapsed() {
@@ -19,7 +19,7 @@
 	now := reader.options.Clock.Now()
 	recheckDue := reader.recheckPeerAt > 0 && now >= reader.recheckPeerAt
 	if recheckDue {
-		// A peer's answer replaces this time.
+		// A response of a peer replaces this time.
 		reader.recheckPeerAt = now.Add(recheckInterval)
 	}
 	if behind || reader.refreshing || recheckDue {
@@ -39,7 +39,7 @@
 	}
 }
 
-// readPeer adopts the view of a peer if it is newer, or if full is set. The store may refuse some instances and answer others.
+// readPeer adopts the view of a peer if it is newer, or if full is set. The store may refuse the calls of some instances only.
 func (reader *Reader) readPeer(ctx context.Context, full bool) {
 	view, err := reader.fetchFromPeers(ctx, full)
 	if err != nil {
@@ -69,7 +69,7 @@
 	reader.publishOrLog(ctx)
 }
 
-// fetchFromPeers asks a second peer at once when the first does not answer, as that one may just have failed.
+// fetchFromPeers requests the view of a peer, and of a second peer at once when the first request fails, as that peer may just have ended.
 func (reader *Reader) fetchFromPeers(ctx context.Context, full bool) (View, error) {
 	ctx, cancel := reader.cancellableContext(ctx, readTimeout)
 	defer cancel()
@@ -106,7 +106,7 @@
 	return first
 }
 
-// fetchPeerView asks a peer for the changes since the known revision, and for everything when those do not apply to the view here.
+// fetchPeerView requests the changes since the known revision from a peer, and everything when those do not apply to the view here.
 func (reader *Reader) fetchPeerView(ctx context.Context, full bool) (View, error) {
 	after := reader.revision
 	if full || reader.configuration == nil {
--- a/internal/catalog/package.go
+++ b/internal/catalog/package.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	reader := catalog.NewReader(catalog.Options{Source: source, Publish: fleet.ViewRead, ...})
+//	reader := catalog.NewReader(catalog.Options{Source: source, Publish: controller.SetView, ...})
 //	go reader.Serve(ctx)
 //	reader.SetRole(catalog.RoleLeader)
 package catalog
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -15,19 +15,19 @@
 
 // Intervals and timeouts of a Reader.
 const (
-	// readTimeout bounds reading everything. A slow store answers in some 250 ms. On a connection that has stopped answering it
-	// never does, and the read is repeated on a new connection.
+	// readTimeout bounds reading everything. A slow store responds in some 250 ms. On a connection that has stopped
+	// responding it never does, and the read is repeated on a new connection.
 	readTimeout = clock.Second
 	// staleTimeout bounds a stale read, during which callers wait.
 	staleTimeout = 300 * clock.Millisecond
-	// watchWait is how long a watch waits for a change, and watchSlack how much later its answer may come. A connection that has
-	// stopped answering is detected when both have passed; instances must apply changes within 3 s of its failure.
+	// watchWait is how long a watch waits for a change, and watchSlack how much later its response may arrive. A connection that
+	// has stopped responding is detected when both have passed; instances must apply changes within 3 s of its failure.
 	watchWait  = 2 * clock.Second
 	watchSlack = 600 * clock.Millisecond
 	// minWatchWait is the shortest time that a watch waits.
 	minWatchWait = 10 * clock.Millisecond
-	// batchPause is the pause after changes before the next call. Calls are priced and limited, and changes come in batches when
-	// servers are replaced. The pause is a seventh of the time in which a change must be in force.
+	// batchPause is the pause after changes before the next call. Calls are billed and limited in number, and changes come in batches
+	// when servers are replaced. The pause is a seventh of the time in which a change must be in force.
 	batchPause = 300 * clock.Millisecond
 	// batchPauseUnconfigured is that pause while there is no configuration: hundreds of servers start together before a fleet's
 	// first configuration.
@@ -35,12 +35,12 @@
 	// initialBackoff and maxBackoff bound the pause after a failed call of a serving instance.
 	initialBackoff = 100 * clock.Millisecond
 	maxBackoff     = 500 * clock.Millisecond
-	// initialBackoffFallback and maxBackoffFallback are the bounds for a fallback reader. An instance must apply, 3 s after the
-	// store is back, what it could have read. While no instance is answered, all of them call the store, and a hundred instances
-	// with the shorter pauses would overload it.
+	// initialBackoffFallback and maxBackoffFallback are the bounds for a fallback reader. Within 3 s of the store's return, an instance
+	// must apply the changes that it could have read. While the store responds to no instance, all of them call it, and a hundred
+	// instances with the shorter pauses would overload it.
 	initialBackoffFallback = 500 * clock.Millisecond
 	maxBackoffFallback     = 2 * clock.Second
-	// outageThreshold is the time without an answer after which entries may have lapsed only because of the outage of the store.
+	// outageThreshold is the time without a response after which entries may have lapsed only because of the outage of the store.
 	outageThreshold = 800 * clock.Millisecond
 	// reregistrationPeriod is the time after the store's return in which running servers are registered again.
 	reregistrationPeriod = 2500 * clock.Millisecond
@@ -51,8 +51,8 @@
 	minPeerReadInterval = 100 * clock.Millisecond
 	// recheckInterval is the time between two reads of a peer that may have dropped servers which it retained.
 	recheckInterval = 500 * clock.Millisecond
-	// peerFallbackAfter is the time without an answer of the store after which peers are asked.
-	peerFallbackAfter = 600 * clock.Millisecond
+	// peerFallbackDelay is the time without a response of the store after which views are requested from peers.
+	peerFallbackDelay = 600 * clock.Millisecond
 )
 
 // Event names of a Reader.
@@ -68,10 +68,10 @@
 	EventWarning    = "catalog.doubt"
 )
 
-// Options configure a Reader.
+// Options configures a Reader.
 type Options struct {
 	Source Source
-	// FetchFromPeer asks another instance for the changes after a revision, or for everything when that is 0. The view of the other
+	// FetchFromPeer requests the changes after a revision from another instance, or everything when that is 0. The view of the other
 	// instance may be older than this one's.
 	FetchFromPeer func(ctx context.Context, after Revision) (Update, error)
 	// Publish is called with each new view.
@@ -99,7 +99,7 @@
 	failing                      bool
 	// watching is whether the call in progress waits for changes.
 	watching bool
-	// peerFailing is whether peers did not answer when they were last asked.
+	// peerFailing is whether the last request to peers failed.
 	peerFailing bool
 	cancelIO    context.CancelFunc
 
@@ -154,8 +154,8 @@
 			continue
 		}
 		if refresh && (reader.failures > 0 || reader.behind()) {
-			// A server that peers saw removed while only this instance got no answers has not lapsed. The call that was cancelled for the
-			// refresh may also be one that the source never answers, and so might be the next call: peers are asked first.
+			// The entry of a server that peers saw removed while only this instance got no responses has not lapsed. The source may also
+			// never have responded to the call that was cancelled for the refresh, nor respond to the next one: peers are read first.
 			reader.readPeer(ctx, false)
 		}
 		if err := reader.step(ctx); err != nil && ctx.Err() == nil {
@@ -196,7 +196,7 @@
 	if err != nil {
 		return errors.Wrap(err, "watch")
 	}
-	reader.recordAnswer()
+	reader.recordResponse()
 	return reader.applyChanges(ctx, changes)
 }
 
@@ -207,8 +207,8 @@
 }
 
 // nextWatchWait returns how long the next watch may wait, at most until the next entry is dropped that may only have lapsed. A watch
-// without changes would end much later, and the server would get requests until then. After a failure the watch hardly waits, and so
-// shows whether the source is back.
+// without changes would end much later, and the server would get requests until then. After a failure the watch waits only for
+// minWatchWait, to find out whether the source is back.
 func (reader *Reader) nextWatchWait() clock.Milliseconds {
 	if reader.failures > 0 {
 		return minWatchWait
@@ -249,15 +249,15 @@
 	if err != nil {
 		return errors.Wrap(err, "read all entries")
 	}
-	reader.recordAnswer()
+	reader.recordResponse()
 	reader.applySnapshot(snapshot)
 	reader.complete = true
 	reader.refreshing = false
 	return reader.publish(ctx)
 }
 
-// recordAnswer records that the source has answered. After an outage, entries that are gone may only have lapsed.
-func (reader *Reader) recordAnswer() {
+// recordResponse records that the source has responded. After an outage, entries that are gone may only have lapsed.
+func (reader *Reader) recordResponse() {
 	now := reader.options.Clock.Now()
 	reader.mutex.Lock()
 	silent := now.Since(reader.lastResponse)
--- a/internal/catalog/retry.go
+++ b/internal/catalog/retry.go
@@ -9,7 +9,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// handleFailure waits after a failed call, and first asks a peer when the source has not answered for long.
+// handleFailure waits after a failed call, and first reads a peer when the source has not responded for peerFallbackDelay.
 func (reader *Reader) handleFailure(ctx context.Context, err error) {
 	if reader.interrupted(err) {
 		return
@@ -25,7 +25,7 @@
 	reader.failing = true
 	reader.mutex.Unlock()
 	silent := reader.options.Clock.Now().Since(reader.LastResponse())
-	if reader.LastResponse() == 0 || silent > peerFallbackAfter {
+	if reader.LastResponse() == 0 || silent > peerFallbackDelay {
 		reader.readPeer(ctx, false)
 	}
 	reader.pause(ctx, reader.backoff())
@@ -43,8 +43,8 @@
 	return backoff * clock.Milliseconds(0.5+reader.options.Jitter())
 }
 
-// pause waits after a failed call. A newer view of a peer that becomes known meanwhile is read at once: an instance that the store
-// refuses must apply what the others know.
+// pause waits after a failed call. A newer view of a peer that becomes known meanwhile is read at once: an instance whose calls the
+// store refuses must apply the changes that the others have read.
 func (reader *Reader) pause(ctx context.Context, length clock.Milliseconds) {
 	timer := time.NewTimer(length.Duration())
 	defer timer.Stop()
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -6,7 +6,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Role is how a reader keeps its view current. Few instances read the source, whose calls are limited and priced.
+// Role is how a reader keeps its view current. Few instances read the source, since calls to it are billed and limited in number.
 type Role int
 
 // SetRole changes the role.
@@ -55,8 +55,8 @@
 	reader.signal()
 }
 
-// CatchUp reports that a peer has had the given newer revision for some time. A watch in progress is cancelled, a peer is asked, and
-// everything is read again. A read in progress is not cancelled: on a slow link it would never complete.
+// CatchUp reports that a peer has had the given newer revision for some time. A watch in progress is cancelled, the view of a peer is read,
+// and everything is read again. A read in progress is not cancelled: on a slow link it would never complete.
 func (reader *Reader) CatchUp(newest Revision) {
 	reader.mutex.Lock()
 	reader.peerRevision = newest
@@ -80,21 +80,21 @@
 	reader.signal()
 }
 
-// LastResponse returns when the source last answered, 0 before its first answer.
+// LastResponse returns when the source last responded, 0 before its first response.
 func (reader *Reader) LastResponse() clock.Moment {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.lastResponse
 }
 
-// Failing reports whether the last call to the source was refused or not answered.
+// Failing reports whether the last call to the source was refused or got no response.
 func (reader *Reader) Failing() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	return reader.failing
 }
 
-// PeerFailing reports whether peers did not answer when they were last asked.
+// PeerFailing reports whether the last request to peers failed.
 func (reader *Reader) PeerFailing() bool {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
--- a/internal/catalog/stale.go
+++ b/internal/catalog/stale.go
@@ -17,7 +17,7 @@
 	return reader.peerRevision > reader.revision
 }
 
-// readStale makes a stale read if one is requested. Its result shows neither whether the source answers current reads, nor its
+// readStale makes a stale read if one is requested. Its result shows neither whether the source responds to current reads, nor its
 // current content.
 func (reader *Reader) readStale(ctx context.Context) {
 	reader.mutex.Lock()
--- a/internal/catalog/update.go
+++ b/internal/catalog/update.go
@@ -118,8 +118,8 @@
 	changedAt Revision
 }
 
-// maxRemoved is the number of removed servers that are kept, more than a data centre has. When there are more, followers read
-// everything.
+// maxRemoved is the maximum number of removed servers that are recorded, more than a data centre has. When there are more, followers
+// read everything.
 const maxRemoved = 512
 
 // NewHistory returns an empty history.
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -39,16 +39,16 @@
 	Prefix string
 	// Idempotent is whether a request may run more than once.
 	Idempotent bool
-	// Timeout is the maximum time until a request gets its final answer.
+	// Timeout is the maximum time until a request gets its final response.
 	Timeout clock.Milliseconds
-	// SoftDeadline is the time within which an answer has its full value.
+	// SoftDeadline is the time within which a response has its full value.
 	SoftDeadline clock.Milliseconds
 	// Attempts is the maximum number of backend servers that one request may be sent to.
 	Attempts int
 	Priority settings.Priority
-	// Public is whether requests need no API key.
+	// Public is whether requests are accepted without an API key.
 	Public bool
-	// Split is empty when the service of the requests is not known. They are refused then, and use no other route.
+	// Split is empty when the service of the requests is not known. The requests are refused then; they use no other route.
 	Split []Share
 }
 
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -48,7 +48,7 @@
 		events.Add(EventSettingsRejected, 1)
 		if controller.problems[key] != err.Error() {
 			controller.problems[key] = err.Error()
-			controller.options.Log.Error().Str("key", key).Str("problem", err.Error()).Msg("settings rejected, the previous ones stay in force")
+			controller.options.Log.Error().Str("key", key).Str("problem", err.Error()).Msg("settings rejected, keeping the previous settings")
 		}
 	case applied:
 		events.Add(EventSettingsApplied, 1)
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -54,7 +54,7 @@
 // priorityRepeats is how many heartbeats report a changed target first: several datagrams in a row may be lost.
 const priorityRepeats = 4
 
-// prioritize reports a target first in the next heartbeats.
+// prioritize puts a target first in the next heartbeats.
 func (heartbeatState *heartbeatState) prioritize(key instance.TargetKey) {
 	for range priorityRepeats {
 		heartbeatState.priority = append(heartbeatState.priority, key)
@@ -190,7 +190,8 @@
 	}
 }
 
-// handlePeerStart sends full heartbeats for a while, so that a peer that has just started learns which targets are warm.
+// handlePeerStart makes this instance send full heartbeats for a while, so that a peer that has just started learns which
+// targets are warm.
 func (controller *Controller) handlePeerStart() {
 	now := controller.options.Clock.Now()
 	if controller.firstHeartbeat == 0 {
@@ -202,13 +203,13 @@
 // applyPeerTargets updates the targets from a peer's heartbeat. The phase reported by an owner is accepted unless this
 // instance owns the target itself. Other peers' reports are accepted only during the learning period, for targets of unknown
 // phase that were present at the start of this instance.
-func (controller *Controller) applyPeerTargets(news []instance.TargetStatus) {
-	if len(news) == 0 {
+func (controller *Controller) applyPeerTargets(statuses []instance.TargetStatus) {
+	if len(statuses) == 0 {
 		return
 	}
 	now := controller.options.Clock.Now()
-	reported := make(map[instance.TargetKey]instance.TargetStatus, len(news))
-	for _, entry := range news {
+	reported := make(map[instance.TargetKey]instance.TargetStatus, len(statuses))
+	for _, entry := range statuses {
 		reported[entry.Target] = entry
 	}
 	for _, state := range controller.services {
@@ -279,42 +280,42 @@
 		heartbeat.order = slices.Sorted(maps.Keys(known))
 		heartbeat.cursor = 0
 	}
-	news := heartbeat.takePriority(known)
+	statuses := heartbeat.takePriority(known)
 	maxTargets := unchangedTargetsPerHeartbeat
 	if now < heartbeat.fullUntil {
 		maxTargets = instance.MaxTargets
 	}
-	for len(news) < maxTargets && heartbeat.cursor < len(heartbeat.order) {
-		news = appendTarget(news, known, heartbeat.order[heartbeat.cursor])
+	for len(statuses) < maxTargets && heartbeat.cursor < len(heartbeat.order) {
+		statuses = appendTarget(statuses, known, heartbeat.order[heartbeat.cursor])
 		heartbeat.cursor++
 	}
-	return news
+	return statuses
 }
 
-// takePriority removes from the priority list and returns the targets for one heartbeat, each at most once.
+// takePriority removes the targets for one heartbeat from the priority list, each at most once, and returns their statuses.
 func (heartbeatState *heartbeatState) takePriority(known map[instance.TargetKey]*targetState) []instance.TargetStatus {
-	var news []instance.TargetStatus
+	var statuses []instance.TargetStatus
 	var later []instance.TargetKey
 	added := map[instance.TargetKey]bool{}
 	for _, key := range heartbeatState.priority {
-		if added[key] || len(news) == instance.MaxTargets {
+		if added[key] || len(statuses) == instance.MaxTargets {
 			later = append(later, key)
 			continue
 		}
 		added[key] = true
-		news = appendTarget(news, known, key)
+		statuses = appendTarget(statuses, known, key)
 	}
 	heartbeatState.priority = later
-	return news
+	return statuses
 }
 
-// appendTarget appends a target's state, unless its phase is unknown.
-func appendTarget(news []instance.TargetStatus, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetStatus {
+// appendTarget appends a target's status, unless its phase is unknown.
+func appendTarget(statuses []instance.TargetStatus, known map[instance.TargetKey]*targetState, key instance.TargetKey) []instance.TargetStatus {
 	target, found := known[key]
 	if !found || target.phase == phaseUnknown {
-		return news
+		return statuses
 	}
-	return append(news, instance.TargetStatus{Target: key, Warm: target.phase == phaseWarm, Owned: target.owned})
+	return append(statuses, instance.TargetStatus{Target: key, Warm: target.phase == phaseWarm, Owned: target.owned})
 }
 
 // digest hashes the revisions of all documents in force.
--- a/internal/control/targets.go
+++ b/internal/control/targets.go
@@ -119,7 +119,7 @@
 	controller.options.Registry.Events.Add(EventTargetRemoved, 1)
 }
 
-// firstHeartbeatTimeouts is how many times suspectAfter a new instance waits for the first heartbeat of a peer.
+// firstHeartbeatTimeouts is the multiple of SuspectAfter for which a new instance waits for the first heartbeat of a peer.
 const firstHeartbeatTimeouts = 5
 
 // inLearningPeriod reports whether this instance has just started and still waits for peers to report which targets are
@@ -186,8 +186,8 @@
 	controller.options.Log.Debug().Str("service", string(state.name)).Str("target", string(name)).Str("why", reason).Msg("cold")
 }
 
-// requestReport requests the target's load report when it is due. Only the owner reads it, so that the load from measuring
-// does not grow with the fleet.
+// requestReport requests the target's load report when it is due. Unless a baseline policy needs the reports, only the owner
+// reads them, so that the load from measuring does not grow with the fleet.
 func (controller *Controller) requestReport(now clock.Moment, state *serviceState, name settings.TargetName, target *targetState) {
 	if now < target.nextReport {
 		return
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -49,18 +49,18 @@
 
 // Entry is one entry instance.
 type Entry struct {
-	options    Options
-	clock      *clock.Clock
-	registry   *metrics.Registry
-	servers    *backendserver.Servers
-	controller *control.Controller
-	plane      *instance.HeartbeatTransport
-	handler    *caller.Handler
-	tree       *supervisor.Tree
-	control    *supervisor.Tree
-	traffic    *supervisor.Tree
-	callers    *httppart.Server
-	operators  *httppart.Server
+	options            Options
+	clock              *clock.Clock
+	registry           *metrics.Registry
+	servers            *backendserver.Servers
+	controller         *control.Controller
+	heartbeatTransport *instance.HeartbeatTransport
+	handler            *caller.Handler
+	tree               *supervisor.Tree
+	control            *supervisor.Tree
+	traffic            *supervisor.Tree
+	callers            *httppart.Server
+	operators          *httppart.Server
 }
 
 // New binds the addresses for callers and operators and creates all components; nothing runs until Serve. It returns an
@@ -85,7 +85,7 @@
 	random := rand.New(rand.NewPCG(entry.options.Seed, 0))
 	options := supervisor.Options{Log: entry.options.Log, Events: &entry.registry.Events}
 	var controller *control.Controller
-	plane, err := instance.NewHeartbeatTransport(instance.Options{
+	heartbeatTransport, err := instance.NewHeartbeatTransport(instance.Options{
 		Address: process.PeerAddress,
 		Keys:    process.Keys,
 		Deliver: func(heartbeat instance.Heartbeat) { controller.HeartbeatReceived(heartbeat) },
@@ -94,26 +94,26 @@
 	if err != nil {
 		return err
 	}
-	reporter := control.NewReportReader(entry.servers.ReadReport, func(request control.ReportRequest, report backendserver.Report, err error) {
+	reportReader := control.NewReportReader(entry.servers.ReadReport, func(request control.ReportRequest, report backendserver.Report, err error) {
 		controller.ReportRead(request, report, err)
 	})
 	controller = control.NewController(control.Options{
 		Name: process.Instance, DataCentre: process.DataCentre,
 		Incarnation: instance.Incarnation(time.Now().UnixMilli()),
 		Clock:       entry.clock, Rand: random, Servers: entry.servers, Registry: entry.registry, Log: entry.options.Log,
-		Send: plane.Send, RequestReport: reporter.Enqueue, Policy: entry.options.Policy,
+		Send: heartbeatTransport.Send, RequestReport: reportReader.Enqueue, Policy: entry.options.Policy,
 	})
 	watch := platform.WatchOptions{
 		Client: platform.NewClient(process.Platform), Events: &entry.registry.Events, Log: entry.options.Log, Jitter: rand.Float64,
 	}
 	branch := supervisor.New("control", options)
 	branch.Add(supervisor.Component{Name: "controller", Serve: controller.Serve})
-	branch.Add(supervisor.Component{Name: "peers", Serve: plane.Serve})
-	branch.Add(supervisor.Component{Name: "reports", Serve: reporter.Serve})
+	branch.Add(supervisor.Component{Name: "peers", Serve: heartbeatTransport.Serve})
+	branch.Add(supervisor.Component{Name: "reports", Serve: reportReader.Serve})
 	branch.Add(supervisor.Component{Name: "configuration", Serve: platform.NewConfigurationWatcher(watch, controller.DocumentRead).Serve})
 	branch.Add(supervisor.Component{Name: "list", Serve: platform.NewInstanceListWatcher(watch, controller.ListRead).Serve})
 	entry.controller = controller
-	entry.plane = plane
+	entry.heartbeatTransport = heartbeatTransport
 	entry.control = branch
 	entry.tree = supervisor.New("entry", options)
 	entry.tree.AddTree(branch)
@@ -170,7 +170,7 @@
 // PeerAddress waits until the instance receives datagrams, and returns the address on which it does. It returns an error if
 // the context ends first.
 func (entry *Entry) PeerAddress(ctx context.Context) (netip.AddrPort, error) {
-	return entry.plane.Address(ctx)
+	return entry.heartbeatTransport.Address(ctx)
 }
 
 // Status returns the control state.
--- a/internal/sensing/sensing.go
+++ b/internal/sensing/sensing.go
@@ -1,12 +1,12 @@
-// Package sensing probes backend servers: it measures how slow, how full and how warm those are that this instance owns, often enough
-// that the result is still valid when the next request is assigned.
+// Package sensing probes the backend servers that this instance owns: it measures their slowdown, load and warm-up often enough that
+// the result is still valid when the next request is assigned.
 //
 // One instance probes a target and shares the result with the others, so the cost of probing does not grow with the fleet. Targets of an
 // idle service are probed rarely, as no request is about to be assigned to one.
 //
 // # Usage
 //
-//	prober := sensing.NewProber(sensing.Options{Send: servers.Send, Read: platform.ReadProbe, Deliver: fleet.Probed, ...})
+//	prober := sensing.NewProber(sensing.Options{Send: servers.Send, Read: platform.ParseProbeResponse, Deliver: controller.RecordProbe, ...})
 //	go prober.Serve(ctx)
 //	prober.Set(jobs)
 package sensing
@@ -29,11 +29,11 @@
 
 // Intervals and timeouts of probing.
 const (
-	// probeTimeout bounds one probe. A target answers in some 10 ms even when it is full; 200 ms without an answer mean that the
+	// probeTimeout bounds one probe. A target responds in some 10 ms even when it is full; 200 ms without a response mean that the
 	// target, its connection or its link has failed.
 	probeTimeout = 200 * clock.Millisecond
-	// downAfter is the number of consecutive failed probes after which a target counts as down.
-	downAfter = 2
+	// downThreshold is the number of consecutive failed probes after which a target counts as down.
+	downThreshold = 2
 	// notDuePause is the time between two checks whether a target that was not due is due now.
 	notDuePause = 100 * clock.Millisecond
 	// downPause is the minimum pause between two probes of a target that is down.
@@ -47,14 +47,14 @@
 )
 
 // errWrongServer means that another server has the target's address.
-var errWrongServer = errors.New("another backend server answers at the address")
+var errWrongServer = errors.New("another backend server responded at the address")
 
-// Health is a target's answer to a probe.
+// Health is a target's response to a probe.
 type Health struct {
-	// Target is the name of the server that answered, empty when the answer does not contain it.
+	// Target is the name of the server that responded, empty when the response does not contain it.
 	Target  settings.TargetName
 	Healthy bool
-	// NotRun is whether the target refused the probe because it is full.
+	// NotRun is whether the target rejected the probe because it is full.
 	NotRun      bool
 	LoadReading service.LoadReading
 }
@@ -81,10 +81,13 @@
 	Err  error
 }
 
-// Options configure a Prober.
+// Options configures a Prober.
 type Options struct {
-	Send    func(context.Context, settings.TargetName, *http.Request, bool) (*backendserver.Exchange, error)
-	Read    func(*http.Response) Health
+	// Send sends the probe of a target; the last argument is whether it needs a fresh connection.
+	Send func(context.Context, settings.TargetName, *http.Request, bool) (*backendserver.Exchange, error)
+	// Read parses the response to a probe.
+	Read func(*http.Response) Health
+	// Deliver receives the result of each probe, on the goroutine of the probed target.
 	Deliver func(Result)
 	Clock   *clock.Clock
 	Events  *expvar.Map
@@ -126,7 +129,7 @@
 	return ctx.Err()
 }
 
-// Set replaces the jobs. Jobs that are unchanged go on without interruption.
+// Set replaces the jobs. Unchanged jobs continue without interruption.
 func (prober *Prober) Set(jobs []Job) {
 	prober.mutex.Lock()
 	defer prober.mutex.Unlock()
@@ -188,7 +191,7 @@
 			prober.options.Events.Add(EventProbed, 1)
 			failures = 0
 		}
-		down := failures >= downAfter
+		down := failures >= downThreshold
 		if down {
 			pause = max(pause, downPause)
 		}
@@ -220,10 +223,10 @@
 	return health, nil
 }
 
-// probeBufferSize is the size of the buffer for the body of a probe's answer, in bytes.
+// probeBufferSize is the size of the buffer for the body of a probe's response, in bytes.
 const probeBufferSize = 4 << 10
 
-// drain reads the answer to its end. Otherwise its connection could not be used again.
+// drain reads the response to its end. Otherwise its connection could not be used again.
 func drain(exchange *backendserver.Exchange) error {
 	var buffer [probeBufferSize]byte
 	for !exchange.FullyRead() {
