--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -30,7 +30,7 @@
 	servingTickInterval = 10 * clock.Millisecond
 	standbyTickInterval = 50 * clock.Millisecond
 	// readingShareInterval is the interval at which load readings are sent to the other serving instances. It is a tenth of a
-	// slowdown interval, so that a reading stays valid there for nearly as long as at its owner.
+	// slowdown interval, so that a reading is valid at the other instances for nearly as long as at its owner.
 	readingShareInterval = 25 * clock.Millisecond
 	// minSharedValidity is the shortest remaining validity with which a load reading is still sent.
 	minSharedValidity = 12 * clock.Millisecond
@@ -59,7 +59,7 @@
 	// server that leaves must receive no requests after 2 s.
 	silentLeadersTimeout = 1500 * clock.Millisecond
 	// firstStartReadDelay is how long an instance waits for a view of another instance before it reads the store itself, when
-	// a whole fleet starts for the first time. Seeds read at once, but there may be no configuration yet, and a view without a
+	// a whole fleet starts for the first time. Seeds read the store at once, but there may be no configuration yet, and a view without a
 	// configuration is of no use to other instances. Callers arrive some seconds later.
 	firstStartReadDelay = 3 * clock.Second
 	// restartReadDelayNext is how long a restarted instance that is next to serve waits for a fresh view of a serving instance
@@ -77,8 +77,8 @@
 	// followInterval is the minimum interval between two reads of a peer's view for changes of backend servers only. A standby
 	// instance sends next to no requests, and changes come in bursts.
 	followInterval = clock.Second
-	// suspendThreshold is the difference in time passed on the two clocks from which the machine counts as having been
-	// suspended.
+	// suspendThreshold is the time from which the machine counts as having been suspended: the difference between the times
+	// that have passed on BootClock and on Clock since the last tick.
 	suspendThreshold = 300 * clock.Millisecond
 	// behindTimeout is how long a peer may have a newer revision before this instance catches up: its own watch has gone
 	// silent.
@@ -105,7 +105,7 @@
 	EventBehind    = "control.behind"
 )
 
-// Options configure a Controller.
+// Options configures a Controller.
 type Options struct {
 	Self        membership.Identity
 	Incarnation membership.Incarnation
@@ -128,18 +128,18 @@
 	SetJobs func([]sensing.Job)
 }
 
-// CatalogReader are the functions of the catalog reader that the control loop calls.
+// CatalogReader has the functions of the catalog reader that the control loop calls.
 type CatalogReader struct {
 	SetRole         func(catalog.Role)
 	SetPeerRevision func(catalog.Revision)
 	Refresh         func()
-	// CatchUp has the reader catch up with a revision that a serving peer has had for a while.
+	// CatchUp makes the reader catch up with a revision that a serving peer has had for a while.
 	CatchUp func(catalog.Revision)
 	// ReadStale reads the state that the store held some seconds ago.
 	ReadStale    func()
 	LastResponse func() clock.Moment
 	Failing      func() bool
-	// PeerFailing reports whether peers failed to deliver their view when they were last asked.
+	// PeerFailing reports whether the last request to peers for their view failed.
 	PeerFailing func() bool
 }
 
@@ -268,7 +268,7 @@
 	return controller.post(ctx, func(controller *Controller) { controller.applyView(&view) })
 }
 
-// RecordProbe takes in the result of a probe. It runs on the goroutine of the prober.
+// RecordProbe records the result of a probe. The prober calls it on its own goroutines.
 func (controller *Controller) RecordProbe(result sensing.Result) {
 	table := controller.table.Load()
 	if table == nil {
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -16,7 +16,7 @@
 // maxReadingsPerDatagram is the maximum number of readings in a datagram: at about 14 bytes each they fit into one packet.
 const maxReadingsPerDatagram = 80
 
-// ErrInvalidMessage says that a datagram makes no sense.
+// ErrInvalidMessage means that a datagram does not contain a valid message.
 var ErrInvalidMessage = errors.New("message not understood")
 
 // TargetKey identifies a backend server by a hash of its name, since names would make up most of a datagram.
@@ -38,12 +38,13 @@
 	Slots   uint16
 	// SlowdownPercent is 100 when requests take as long as usual.
 	SlowdownPercent uint16
-	// AgeMs and ColdMs are in milliseconds; ColdMs is -1 when it is not known.
+	// AgeMs is the age of the reading and ColdMs how long the target stays cold, in milliseconds; ColdMs is -1 when this is not
+	// known.
 	AgeMs  uint16
 	ColdMs int32
 	Down   bool
-	// SteadyMs and PeriodMs tell when the slowdown may change, in milliseconds from the time of the reading; 0 when this is
-	// not known.
+	// SteadyMs is how long the slowdown stays as it is, from the time of the reading, and PeriodMs the period of its changes,
+	// in milliseconds; both are 0 when this is not known.
 	SteadyMs float32
 	PeriodMs float32
 }
@@ -70,16 +71,15 @@
 	return sharedReading
 }
 
-// maxSteady is the maximum time for which a slowdown may be reported to stay as it is: far beyond any period that is searched
-// for.
+// maxSteady is the maximum time for which a slowdown may be reported to stay as it is: far longer than any period that the
+// slowdown model searches for.
 const maxSteady = clock.Minute
 
 // slowdownCycle returns for how long the slowdown stays as it is and the period of its changes, or zeros if the received
-// values are implausible. Any process may send a datagram, and a period that is not a number would make every prediction for
-// the target not a number as well.
+// values are implausible. Any process may send a datagram, and a NaN period would make every prediction for the target NaN.
 func (sharedReading *SharedReading) slowdownCycle() (clock.Milliseconds, clock.Milliseconds) {
 	steady, period := clock.Milliseconds(sharedReading.SteadyMs), clock.Milliseconds(sharedReading.PeriodMs)
-	if believable := steady >= 0 && steady <= maxSteady && period > 0 && period <= maxSteady; !believable {
+	if plausible := steady >= 0 && steady <= maxSteady && period > 0 && period <= maxSteady; !plausible {
 		return 0, 0
 	}
 	return steady, period
--- a/internal/fleet/reader_role.go
+++ b/internal/fleet/reader_role.go
@@ -7,7 +7,7 @@
 )
 
 // updateReaderRole decides whether this instance reads the store or follows a peer that does. An instance that finds no peer
-// with a fresh view reads the store itself, because it has to comply with what it would have received from that peer.
+// with a fresh view reads the store itself, because it must apply the changes that it would have received from that peer.
 func (controller *Controller) updateReaderRole(now clock.Moment, serves bool) {
 	leaders := controller.members.Leaders()
 	newest := leaders.NewestRevision
@@ -102,14 +102,14 @@
 			version = controller.view.Configuration.Version
 		}
 	}
-	contact := controller.catalogReader.LastResponse()
-	fresh := controller.role != catalog.RoleFollower && !controller.catalogReader.Failing() && contact > 0 && now.Since(contact) < maxFreshContactAge
+	lastResponse := controller.catalogReader.LastResponse()
+	fresh := controller.role != catalog.RoleFollower && !controller.catalogReader.Failing() && lastResponse > 0 && now.Since(lastResponse) < maxFreshResponseAge
 	controller.members.SetCatalog(revision, version, fresh)
 }
 
-// maxFreshContactAge is how recently the store must have answered for an instance to report its view as fresh: the duration of
+// maxFreshResponseAge is how recently the store must have responded for an instance to report its view as fresh: the duration of
 // one watch plus some slack.
-const maxFreshContactAge = 2800 * clock.Millisecond
+const maxFreshResponseAge = 2800 * clock.Millisecond
 
 // checkBehind catches up with a newer revision that a serving peer has had for a while.
 func (controller *Controller) checkBehind(now clock.Moment) {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -22,11 +22,12 @@
 	State      string                  `json:"state"`
 	Ready      bool                    `json:"ready"`
 	Leaving    bool                    `json:"leaving"`
-	Reads      bool                    `json:"reads"`
-	Revision   catalog.Revision        `json:"revision"`
-	Version    catalog.Version         `json:"version"`
-	Peers      []PeerStatus            `json:"peers"`
-	Services   []ServiceStatus         `json:"services"`
+	// Reads is whether the instance reads the store itself.
+	Reads    bool             `json:"reads"`
+	Revision catalog.Revision `json:"revision"`
+	Version  catalog.Version  `json:"version"`
+	Peers    []PeerStatus     `json:"peers"`
+	Services []ServiceStatus  `json:"services"`
 	// Teams are the teams with a rate limit that sent requests to this instance, those with the most refused requests first.
 	Teams []quota.Usage `json:"teams,omitempty"`
 }
@@ -35,7 +36,7 @@
 type PeerStatus struct {
 	Name       settings.InstanceName   `json:"name"`
 	DataCentre settings.DataCentreName `json:"dataCentre"`
-	// Address is where other instances reach it, IP and port.
+	// Address is the IP address and port at which other instances reach it.
 	Address  string           `json:"address"`
 	State    string           `json:"state"`
 	Revision catalog.Revision `json:"revision"`
@@ -50,18 +51,18 @@
 }
 
 // query runs a function on the control goroutine and returns its result. The error is that of the context if the control
-// goroutine does not answer in time.
-func query[T any](ctx context.Context, controller *Controller, answer func(*Controller) T) (T, error) {
-	answered := make(chan T, 1)
+// goroutine does not respond in time.
+func query[T any](ctx context.Context, controller *Controller, read func(*Controller) T) (T, error) {
+	result := make(chan T, 1)
 	var none T
-	if err := controller.post(ctx, func(controller *Controller) { answered <- answer(controller) }); err != nil {
+	if err := controller.post(ctx, func(controller *Controller) { result <- read(controller) }); err != nil {
 		return none, errors.Wrap(err, "queue a query for the control goroutine")
 	}
 	select {
-	case value := <-answered:
+	case value := <-result:
 		return value, nil
 	case <-ctx.Done():
-		return none, errors.Wrap(ctx.Err(), "wait for the answer of the control goroutine")
+		return none, errors.Wrap(ctx.Err(), "wait for the response of the control goroutine")
 	}
 }
 
@@ -98,7 +99,7 @@
 	return status
 }
 
-// maxStatusTeams bounds the teams in a status.
+// maxStatusTeams is the maximum number of teams in a status.
 const maxStatusTeams = 100
 
 // topTeams returns the teams that sent requests to this instance, those with the most refused requests first.
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -16,7 +16,7 @@
 	// reportInterval is the interval at which instances report the requests of teams that they have admitted. Within it, the
 	// fleet can exceed a limit by the requests that callers send to the other instances.
 	reportInterval = 50 * clock.Millisecond
-	// reporterTimeout is how long an instance that has sent a report receives the reports of others, whatever its state:
+	// reporterTimeout is how long an instance is sent the reports of others after its own last report, whatever its state:
 	// callers with old address answers still send requests to it.
 	reporterTimeout = clock.Second
 	// maxPeerSilence is how long a serving peer may be silent and still count as receiving the reports of this instance.
@@ -29,13 +29,13 @@
 	// maxPeerSilenceStandby replaces maxPeerSilence at an instance that does not serve, which receives a message of each of
 	// the others once a second.
 	maxPeerSilenceStandby = 1500 * clock.Millisecond
-	// quotaShareInterval is the interval at which the quota share is computed.
-	quotaShareInterval = 50 * clock.Millisecond
+	// fleetFractionInterval is the interval at which the fleet fraction is computed.
+	fleetFractionInterval = 50 * clock.Millisecond
 	// visibilitySettleTime is how long an instance has to serve until it has received messages of all live instances.
 	visibilitySettleTime = 3 * clock.Second
 	// minServing is the number of serving instances that is assumed while the actual number is not known.
 	minServing = 4
-	// minStartFraction is the minimum quota share of an instance that started less than visibilitySettleTime ago: after a
+	// minStartFraction is the minimum fleet fraction of an instance that started less than visibilitySettleTime ago: after a
 	// restart of all instances none has received messages of the others yet, and callers arrive at once.
 	minStartFraction = 0.45
 	// freshViewTimeout is the maximum time since the last fresh view, here or at a peer, for which a key that the view does
@@ -52,8 +52,8 @@
 	reporters map[membership.Incarnation]clock.Moment
 	// nextReport is when requests are next reported, reportedAt when they were last reported.
 	nextReport, reportedAt clock.Moment
-	// nextQuotaShare is when the quota share is next computed.
-	nextQuotaShare clock.Moment
+	// nextFleetFraction is when the fleet fraction is next computed.
+	nextFleetFraction clock.Moment
 	// freshAt is when this instance, or a peer whose heartbeats it receives, last had a fresh view; keyStatus is the resulting
 	// status of the API keys.
 	freshAt   clock.Moment
@@ -62,12 +62,12 @@
 
 // setTeams applies the rate limits of the teams in the configuration.
 func (controller *Controller) setTeams() {
-	ledger := controller.options.Quota
-	if ledger == nil {
+	limiter := controller.options.Quota
+	if limiter == nil {
 		return
 	}
-	ledger.SetBounds(quotaBounds(controller.options.Bounds))
-	for _, change := range ledger.SetTeams(controller.view.Configuration.Teams) {
+	limiter.SetBounds(quotaBounds(controller.options.Bounds))
+	for _, change := range limiter.SetTeams(controller.view.Configuration.Teams) {
 		controller.options.Log.Info().Str("team", string(change.Team)).Float64("rateBefore", change.Before).Float64("rate", change.Rate).
 			Float64("burst", change.Burst).Msg("rate limit changed")
 	}
@@ -89,7 +89,7 @@
 	return controller.teams.directory
 }
 
-// receiveQuotaReport takes in the requests that another instance has admitted.
+// receiveQuotaReport applies a report of the requests that another instance has admitted.
 func (controller *Controller) receiveQuotaReport(now clock.Moment, report *quota.Report) {
 	controller.teams.reporters[membership.Incarnation(report.Sender)] = now
 	controller.members.RecordMessage(membership.Incarnation(report.Sender))
@@ -101,12 +101,12 @@
 // reportQuota sends the requests that this instance has admitted to the instances that serve or leave, and to those that
 // report themselves.
 func (controller *Controller) reportQuota(now clock.Moment) {
-	ledger := controller.options.Quota
-	if ledger == nil || now < controller.teams.nextReport {
+	limiter := controller.options.Quota
+	if limiter == nil || now < controller.teams.nextReport {
 		return
 	}
 	controller.teams.nextReport = now.Add(reportInterval)
-	reports := ledger.Reports(quota.Sender(controller.options.Incarnation))
+	reports := limiter.Reports(quota.Sender(controller.options.Incarnation))
 	for incarnation, at := range controller.teams.reporters {
 		if now.Since(at) > reporterTimeout {
 			delete(controller.teams.reporters, incarnation)
@@ -116,7 +116,7 @@
 		if len(controller.teams.reporters) == 0 || controller.members.State() != membership.Serving || now.Since(controller.teams.reportedAt) < emptyReportInterval {
 			return
 		}
-		reports = []quota.Report{ledger.EmptyReport(quota.Sender(controller.options.Incarnation))}
+		reports = []quota.Report{limiter.EmptyReport(quota.Sender(controller.options.Incarnation))}
 	}
 	controller.teams.reportedAt = now
 	for _, address := range controller.quotaReportRecipients() {
@@ -138,19 +138,19 @@
 	return addresses
 }
 
-// updateQuotaShare passes the fraction of the fleet with which this instance exchanges reports to the quota ledger.
-func (controller *Controller) updateQuotaShare(now clock.Moment) {
-	if controller.options.Quota == nil || now < controller.teams.nextQuotaShare {
+// updateFleetFraction passes the fraction of the fleet with which this instance exchanges reports to the limiter.
+func (controller *Controller) updateFleetFraction(now clock.Moment) {
+	if controller.options.Quota == nil || now < controller.teams.nextFleetFraction {
 		return
 	}
-	controller.teams.nextQuotaShare = now.Add(quotaShareInterval)
-	controller.options.Quota.SetFleetFraction(controller.quotaShare(now))
+	controller.teams.nextFleetFraction = now.Add(fleetFractionInterval)
+	controller.options.Quota.SetFleetFraction(controller.fleetFraction(now))
 }
 
-// quotaShare returns the fraction of the fleet that reports to this instance and receives its reports. A serving instance
+// fleetFraction returns the fraction of the fleet that reports to this instance and receives its reports. A serving instance
 // receives messages of all live instances. Any other, or one that has just begun to serve, receives only those of serving
 // instances, and of few of them when a whole fleet was restarted.
-func (controller *Controller) quotaShare(now clock.Moment) float64 {
+func (controller *Controller) fleetFraction(now clock.Moment) float64 {
 	if now.Since(controller.started) < visibilitySettleTime {
 		recent, serving := controller.members.CountRecentServing(maxPeerSilenceStandby)
 		return max(float64(recent)/float64(max(serving, minServing)), minStartFraction)
@@ -159,11 +159,11 @@
 		recent, serving := controller.members.CountRecentServing(maxPeerSilenceStandby)
 		return float64(recent) / float64(max(serving, minServing))
 	}
-	within := maxPeerSilence
+	maxSilence := maxPeerSilence
 	if len(controller.teams.reporters) == 0 {
-		within = maxPeerSilenceIdle
+		maxSilence = maxPeerSilenceIdle
 	}
-	recent, serving := controller.members.CountRecentServing(within)
+	recent, serving := controller.members.CountRecentServing(maxSilence)
 	if now.Since(controller.servingSince) < visibilitySettleTime {
 		return float64(recent) / float64(max(serving, minServing))
 	}
@@ -183,13 +183,13 @@
 	} else if fresh := controller.members.Leaders().LastFresh; fresh > 0 {
 		controller.teams.freshAt = max(controller.teams.freshAt, fresh)
 	}
-	standing := team.KeysCurrent
+	status := team.KeysCurrent
 	silent := now.Since(controller.teams.freshAt)
 	switch bounds := controller.options.Bounds; {
 	case bounds.FailClosed && silent > bounds.RevokeWithin:
-		standing = team.KeysStale
+		status = team.KeysStale
 	case silent > freshViewTimeout || controller.view == nil || controller.versionBehind():
-		standing = team.KeysUnverified
+		status = team.KeysUnverified
 	}
-	controller.teams.keyStatus.Store(int32(standing))
+	controller.teams.keyStatus.Store(int32(status))
 }
--- a/internal/fleet/tick.go
+++ b/internal/fleet/tick.go
@@ -21,7 +21,7 @@
 	return true
 }
 
-// tick does all work that depends on time.
+// tick runs the timed work.
 func (controller *Controller) tick() {
 	now := controller.options.Clock.Now()
 	controller.checkSuspended()
@@ -44,17 +44,17 @@
 		controller.shareReadings(now)
 	}
 	controller.updateKeyStatus(now)
-	controller.updateQuotaShare(now)
+	controller.updateFleetFraction(now)
 	controller.reportQuota(now)
 	if now >= controller.nextIdleClose {
 		controller.nextIdleClose = now.Add(clock.Second)
 		controller.options.Servers.CloseIdle()
 	}
-	every := standbyTickInterval
+	interval := standbyTickInterval
 	if state := controller.members.State(); state == membership.Serving || state == membership.Joining {
-		every = servingTickInterval
+		interval = servingTickInterval
 	}
-	controller.nextTick = now.Add(every)
+	controller.nextTick = now.Add(interval)
 }
 
 // checkSuspended detects that the machine was suspended. Timers do not count that time, so nothing else would show that the
@@ -76,7 +76,7 @@
 	controller.catalogReader.Refresh()
 }
 
-// updateState updates the state of this instance in the fleet, and whether it reads the catalog.
+// updateState updates the state of this instance in the fleet and the role of its catalog reader.
 func (controller *Controller) updateState(now clock.Moment) {
 	state := controller.members.State()
 	needed := controller.members.ShouldServe()
--- a/internal/fleet/updates.go
+++ b/internal/fleet/updates.go
@@ -17,7 +17,7 @@
 // errNoView is returned while this instance has no view of the catalog.
 var errNoView = errors.New("this instance has no view of the catalog yet")
 
-// UpdateSince returns the changes of the catalog after a revision, for a peer that cannot read them itself. The error is that
+// UpdateSince returns the changes of the catalog after a revision, for a peer that does not get them from the store. The error is that
 // of the context, or says that this instance has no view yet.
 func (controller *Controller) UpdateSince(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
 	update, err := query(ctx, controller, func(controller *Controller) *catalog.Update {
@@ -25,7 +25,7 @@
 			return nil
 		}
 		update := controller.history.UpdateSince(after)
-		update.RetainedFor = controller.heldFor()
+		update.RetainedFor = controller.retainedFor()
 		return &update
 	})
 	if err != nil {
@@ -37,24 +37,24 @@
 	return *update, nil
 }
 
-// minHeldFor is the minimum time after which a peer asks again for a view that holds servers whose entries may only have
+// minRetainedFor is the minimum time after which a peer requests a view again that contains servers whose entries may only have
 // lapsed.
-const minHeldFor = 100 * clock.Millisecond
+const minRetainedFor = 100 * clock.Millisecond
 
-// heldFor returns the time after which the view may change although the revision of the store does not, or 0 if it does not
+// retainedFor returns the time after which the view may change although the revision of the store does not, or 0 if it does not
 // change.
-func (controller *Controller) heldFor() clock.Milliseconds {
+func (controller *Controller) retainedFor() clock.Milliseconds {
 	if controller.view.RetainedUntil == 0 {
 		return 0
 	}
-	return max(controller.view.RetainedUntil.Since(controller.options.Clock.Now()), minHeldFor)
+	return max(controller.view.RetainedUntil.Since(controller.options.Clock.Now()), minRetainedFor)
 }
 
 // updateTimeout bounds a request to a peer for the changes after a revision, which are mostly a few backend servers.
 const updateTimeout = 400 * clock.Millisecond
 
-// FetchFromPeer reads the changes after a revision from the peer with the freshest view, by the given function. A peer that
-// does not answer is avoided for a while. The error is ErrNoPeer if no such peer is known.
+// FetchFromPeer reads the changes after a revision from the peer with the freshest view, by the given function. If
+// the request fails, the peer is avoided for a while. The error is ErrNoPeer if no such peer is known.
 func (controller *Controller) FetchFromPeer(
 	ctx context.Context, after catalog.Revision, read func(context.Context, netip.AddrPort, catalog.Revision) (catalog.Update, error),
 ) (catalog.Update, error) {
@@ -76,7 +76,7 @@
 }
 
 // freshestPeerAddress returns the address of the peer whose view is to be read, whether it serves or not: the store may refuse
-// the calls of just those instances that serve. The error is ErrNoPeer if no such peer is known.
+// the calls of exactly the instances that serve. The error is ErrNoPeer if no such peer is known.
 func (controller *Controller) freshestPeerAddress(ctx context.Context) (netip.AddrPort, error) {
 	address, err := query(ctx, controller, func(controller *Controller) netip.AddrPort {
 		if best := controller.freshestPeer(); best != nil {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -25,8 +25,8 @@
 	ConnectTimeout: 250 * clock.Millisecond,
 	// Servers close unused connections after 10 s.
 	IdleTimeout: 6 * clock.Second,
-	// A request that must not run twice is sent only where activity was seen this recently; probes cause activity all the
-	// time.
+	// A request that must not run twice is sent only on a connection that received data this recently; probes cause activity
+	// all the time.
 	FreshFor: 500 * clock.Millisecond,
 	// The kernel closes a connection whose bytes stay unacknowledged for this long.
 	AckTimeout: clock.Second,
@@ -59,8 +59,8 @@
 	controller.publish()
 }
 
-// publishIfServingChanged publishes again unless a change of membership concerns only standby instances. A hundred of those
-// arrive within a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
+// publishIfServingChanged publishes again unless a change of membership concerns only standby instances. A hundred such
+// changes arrive within a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
 func (controller *Controller) publishIfServingChanged() {
 	serving := controller.members.Serving()
 	if len(serving) > 0 && slices.Equal(serving, controller.serving) {
@@ -87,7 +87,7 @@
 	controller.setTable(controller.newTable())
 }
 
-// setServices keeps a state for every service that the routes or the configured limits name.
+// setServices creates or updates the state of every service that the routes or the configured limits name.
 func (controller *Controller) setServices() {
 	configuration := controller.view.Configuration
 	for index := range configuration.Routes {
