--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -38,7 +38,7 @@
 				return service.NewSharedRetryBudget(share*retryBudgetMargin, testCase.slack/retryBudgetShares)
 			}
 			budgets := []*service.RetryBudget{newBudget(), newBudget(), newBudget()}
-			var asked, repeated []clock.Moment
+			var requestTimes, retryTimes []clock.Moment
 			nextRestart := clock.Moment(testCase.restarts)
 			for now := clock.Moment(0); now < clock.Moment(length); now = now.Add(clock.Milliseconds(random.ExpFloat64() * 1000 / testCase.perSecond)) {
 				if testCase.restarts > 0 && now >= nextRestart {
@@ -47,23 +47,23 @@
 				}
 				budget := budgets[random.IntN(serving)]
 				budget.Deposit()
-				asked = append(asked, now)
+				requestTimes = append(requestTimes, now)
 				// In ten of every twenty seconds all requests are retried as often as the budget allows, after saved retries have filled up.
 				failing := int(now/clock.Moment(window))%2 == 1
 				for failing && budget.TryWithdraw() {
-					repeated = append(repeated, now)
+					retryTimes = append(retryTimes, now)
 				}
 			}
-			for _, from := range repeated {
-				requests, retries := within(asked, from, window), within(repeated, from, window)
+			for _, from := range retryTimes {
+				requests, retries := countWithin(requestTimes, from, window), countWithin(retryTimes, from, window)
 				require.LessOrEqual(t, float64(retries), share*float64(requests)+float64(testCase.slack))
 			}
-			require.Greater(t, float64(len(repeated)), 0.4*share*float64(len(asked)), "retries that could have saved requests were not sent")
+			require.Greater(t, float64(len(retryTimes)), 0.4*share*float64(len(requestTimes)), "retries that could have saved requests were not sent")
 		})
 	}
 }
 
-func within(moments []clock.Moment, from clock.Moment, length clock.Milliseconds) int {
+func countWithin(moments []clock.Moment, from clock.Moment, length clock.Milliseconds) int {
 	count := 0
 	for _, moment := range moments {
 		if moment >= from && moment < from.Add(length) {
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -49,7 +49,7 @@
 			}
 			fixture.controller.tick()
 			require.Equal(t, testCase.readsStore, fixture.readsStore)
-			require.Equal(t, testCase.followed, fixture.followed)
+			require.Equal(t, testCase.followed, fixture.peerRevision)
 			require.Zero(t, fixture.staleReads, "no request has arrived")
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
@@ -75,8 +75,8 @@
 	require.NotContains(t, fixture.controller.owners, identity(2).Name)
 }
 
-// Guards against needless traffic between data centres, which is charged. An instance that follows asks a peer of its own data
-// centre while that has a newer view, unless another peer has a newer configuration, which must be in force in time.
+// Guards against needless traffic between data centres, which is charged. A follower reads from a peer of its own data centre
+// while that peer has a newer view, unless another peer has a newer configuration, which must be in force in time.
 func TestFreshestPeerIsInOwnDataCentre(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -117,7 +117,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newStandbyFixture(t, 12, 30)
 			require.NotNil(t, fixture.controller.Table())
-			fixture.awake.Advance(testCase.suspended)
+			fixture.bootClock.Advance(testCase.suspended)
 			fixture.controller.tick()
 			require.Equal(t, testCase.dropsTable, fixture.controller.Table() == nil)
 			require.Equal(t, testCase.dropsTable, fixture.refreshed)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against a server that restarts under its name and address while a request is in flight there, and is still taken for
-// warm: it is cold and does not know that request, and its full load would crash it.
+// Guards against a server that restarts under its name and address while a request is in flight there, and still counts as
+// warm: the new process is cold and knows nothing of that request, and full load would crash it.
 func TestRestartedServerIsCold(t *testing.T) {
 	fixture := newFixture(1, 1)
 	before := newView(3, 1)
@@ -152,8 +152,8 @@
 }
 
 // Guards against callers that are sent to an instance whose data centre operators have taken out: it still serves, but other
-// instances own all servers, so it refuses callers while there are free permits. Answers must omit it, contain it when there
-// is no other instance, and contain it again when the data centre is back.
+// instances own all servers, so it refuses callers while there are free permits. Address answers must omit it, contain it when
+// there is no other instance, and contain it again when the data centre is back.
 func TestAddressesOmitDataCentresThatAreOut(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -180,8 +180,8 @@
 	}
 }
 
-// Guards against a standby instance that waits for serving instances which all died at once or are cut off. It has to comply
-// with the updates that it would have received from them, so it must read the store itself long before they count as lost.
+// Guards against a standby instance that waits for serving instances which all died at once or are cut off. It must apply
+// the updates that it would have received from them, so it must read the store itself long before they count as lost.
 func TestSilentLeadersAreNotWaitedFor(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -208,8 +208,8 @@
 	}
 }
 
-// Guards against an instance that knows of a newer view, receives it from no peer, and waits until the serving instances count
-// as silent.
+// Guards against an instance that knows of a newer view, receives it from no peer, and reads the store only when the serving
+// instances count as silent.
 func TestUndeliveredViewIsReadFromStore(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -233,7 +233,7 @@
 	}
 }
 
-// Guards against an instance that asks a lost peer again and again while another peer would answer.
+// Guards against an instance that sends its requests for updates to a lost peer again and again while another peer would respond.
 func TestPeerThatDoesNotAnswerIsAvoided(t *testing.T) {
 	fixture := newStandbyFixture(t, 12, 30)
 	fixture.receiveHeartbeat(3, membership.Serving, 2)
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -23,16 +23,17 @@
 type fixture struct {
 	controller *Controller
 	clock      *clock.Manual
-	// awake also counts while the machine is suspended.
-	awake      *clock.Manual
+	// bootClock also counts the time for which the machine is suspended.
+	bootClock  *clock.Manual
 	serving    []membership.Identity
 	sequence   uint64
 	readsStore bool
 	refreshed  bool
 	staleReads int
-	// peerFailing is what its catalog reader reports of its peers.
+	// peerFailing is what PeerFailing of the catalog reader returns.
 	peerFailing bool
-	followed    catalog.Revision
+	// peerRevision is the last argument of SetPeerRevision.
+	peerRevision catalog.Revision
 }
 
 const fixtureDataCentres = 4
@@ -48,21 +49,22 @@
 
 // newFixture returns an instance that has just started and has received no heartbeat.
 func newFixture(self int, seeds ...int) *fixture {
-	fixture := &fixture{clock: clock.NewManual(), awake: clock.NewManual()}
+	fixture := &fixture{clock: clock.NewManual(), bootClock: clock.NewManual()}
 	fixture.advance(clock.Second)
 	var addresses []netip.AddrPort
 	for _, seed := range seeds {
 		addresses = append(addresses, netip.MustParseAddrPort(identity(seed).Peer))
 	}
 	fixture.controller = NewController(Options{
-		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, BootClock: &fixture.awake.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
+		Self: identity(self), Incarnation: 1, Clock: &fixture.clock.Clock, BootClock: &fixture.bootClock.Clock, Rand: rand.New(rand.NewPCG(1, 1)),
 		Seeds: addresses, Servers: backendserver.NewServers(&fixture.clock.Clock), Registry: metrics.NewRegistry(), Log: zerolog.Nop(),
 		Bounds: settings.GatewayBounds{ProbesPerSecond: 60, MaxAddressTTL: 5000}, FleetStarts: true,
 		Send: func(netip.AddrPort, []byte) {}, SetJobs: func([]sensing.Job) {},
 	})
 	fixture.controller.SetCatalogReader(CatalogReader{
-		SetRole: func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollower }, SetPeerRevision: func(revision catalog.Revision) { fixture.followed = revision },
-		Refresh: func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
+		SetRole:         func(role catalog.Role) { fixture.readsStore = role != catalog.RoleFollower },
+		SetPeerRevision: func(revision catalog.Revision) { fixture.peerRevision = revision },
+		Refresh:         func() { fixture.refreshed = true }, CatchUp: func(catalog.Revision) { fixture.refreshed = true }, ReadStale: func() { fixture.staleReads++ },
 		LastResponse: func() clock.Moment { return 0 }, Failing: func() bool { return false },
 		PeerFailing: func() bool { return fixture.peerFailing },
 	})
@@ -72,7 +74,7 @@
 // advance advances both clocks.
 func (fixture *fixture) advance(length clock.Milliseconds) {
 	fixture.clock.Advance(length)
-	fixture.awake.Advance(length)
+	fixture.bootClock.Advance(length)
 }
 
 // receiveHeartbeat passes a heartbeat of another instance to the controller.
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -188,7 +188,7 @@
 		total += len(moments)
 		for _, from := range moments {
 			limit := ownedColdRate*ownedColdFactor + ownedColdSlack
-			require.LessOrEqual(t, float64(within(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
+			require.LessOrEqual(t, float64(countWithin(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
 		}
 	}
 	require.Greater(t, total, ownedTargets*30, "cold servers receive next to no requests")
--- a/internal/fleet/teams.go
+++ b/internal/fleet/teams.go
@@ -45,9 +45,9 @@
 
 // teamState is the state that the control loop keeps of teams.
 type teamState struct {
-	// directory finds the teams of the configuration directoryOf.
-	directory   *team.Directory
-	directoryOf *catalog.Configuration
+	// directory finds the teams of directoryConfiguration.
+	directory              *team.Directory
+	directoryConfiguration *catalog.Configuration
 	// reporters are the instances that have reported requests of teams, with the time of the last report.
 	reporters map[membership.Incarnation]clock.Moment
 	// nextReport is when requests are next reported, reportedAt when they were last reported.
@@ -80,8 +80,8 @@
 // teamDirectory returns the directory of the teams of the configuration in force, nil when requests need no key.
 func (controller *Controller) teamDirectory() *team.Directory {
 	configuration := controller.view.Configuration
-	if controller.teams.directoryOf != configuration {
-		controller.teams.directoryOf, controller.teams.directory = configuration, nil
+	if controller.teams.directoryConfiguration != configuration {
+		controller.teams.directoryConfiguration, controller.teams.directory = configuration, nil
 		if configuration.NeedsKeys {
 			controller.teams.directory = team.NewDirectory(configuration.Teams)
 		}
--- a/internal/fleet/teams_test.go
+++ b/internal/fleet/teams_test.go
@@ -30,16 +30,16 @@
 func TestReportsFitADatagram(t *testing.T) {
 	for _, count := range []int{1, 79, 100, 10_000} {
 		manual := clock.NewManual()
-		ledger := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-		ledger.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
-		ledger.SetFleetFraction(1)
+		limiter := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+		limiter.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
+		limiter.SetFleetFraction(1)
 		teams := manyTeams(count)
-		ledger.SetTeams(teams)
+		limiter.SetTeams(teams)
 		manual.Advance(clock.Minute)
 		for index := range teams {
-			ledger.Admit(teams[index].Name)
+			limiter.Admit(teams[index].Name)
 		}
-		reports := ledger.Reports(1 << 63)
+		reports := limiter.Reports(1 << 63)
 		total := 0
 		for index := range reports {
 			datagram, err := Encode(&Message{Quota: &reports[index]})
@@ -79,16 +79,16 @@
 			return
 		}
 		manual := clock.NewManual()
-		ledger := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
-		ledger.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
-		ledger.SetFleetFraction(1)
-		ledger.SetTeams(manyTeams(1))
+		limiter := quota.NewLimiter(quota.Options{Clock: &manual.Clock, Rand: rand.New(rand.NewPCG(1, 1))})
+		limiter.SetBounds(quota.Bounds{Window: 5 * clock.Second, Over: 0.25, Slack: 20})
+		limiter.SetFleetFraction(1)
+		limiter.SetTeams(manyTeams(1))
 		manual.Advance(clock.Minute)
-		full := ledger.Usage()[0].Level
-		ledger.Receive(*message.Quota)
-		require.LessOrEqual(t, ledger.Usage()[0].Level, full)
+		full := limiter.Usage()[0].Level
+		limiter.Receive(*message.Quota)
+		require.LessOrEqual(t, limiter.Usage()[0].Level, full)
 		manual.Advance(1200 * clock.Millisecond)
-		_, admitted := ledger.Admit("team-0")
+		_, admitted := limiter.Admit("team-0")
 		require.True(t, admitted)
 	})
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -211,20 +211,21 @@
 func (controller *Controller) probeJob(server *catalog.Server, state *serviceState, usable bool) sensing.Job {
 	scheduler := state.scheduler
 	name := server.Name
-	// The platform limits probes over the whole fleet; while views differ, two instances may probe the same target.
-	fastest := 2 * clock.Second / clock.Milliseconds(controller.options.Bounds.ProbesPerSecond)
-	settled := controller.servingSince.Add(unrequestedProbeDelay)
+	// The platform limits the probes of the whole fleet. The factor of 2 is for two instances that probe the same target while
+	// their views differ.
+	minPause := 2 * clock.Second / clock.Milliseconds(controller.options.Bounds.ProbesPerSecond)
+	probeAllFrom := controller.servingSince.Add(unrequestedProbeDelay)
 	return sensing.Job{
 		Service: server.Service, Target: server.Name, Address: server.Address, Path: state.limits.ProbePath,
 		Due: func() bool {
-			return controller.options.Clock.Now() >= settled || scheduler.Busy(serviceBusyWindow)
+			return controller.options.Clock.Now() >= probeAllFrom || scheduler.Busy(serviceBusyWindow)
 		},
 		Pause: func() clock.Milliseconds {
 			switch {
 			case !usable:
 				return unusedProbePause
 			case scheduler.Busy(serviceBusyWindow):
-				return scheduler.NextProbe(name, learningProbePause, max(busyProbePause, fastest))
+				return scheduler.NextProbe(name, learningProbePause, max(busyProbePause, minPause))
 			default:
 				return max(scheduler.NextProbe(name, learningProbePause, idleProbePause), learningProbePause)
 			}
--- a/internal/fleet/virtual_cases_test.go
+++ b/internal/fleet/virtual_cases_test.go
@@ -38,7 +38,7 @@
 			{At: 19860, Kind: removeServer},
 			{At: 20170, Kind: removeServer, One: 8},
 		}},
-		{"an instance that follows again keeps the servers that it held", 283, 12, 1, 6, []change{
+		{"an instance that is a follower again keeps the servers that it retained", 283, 12, 1, 6, []change{
 			{At: 10290, For: 1405, Kind: storeLags, One: 9},
 			{At: 11190, Kind: removeServer},
 			{At: 11560, For: 3840, Kind: storeDown},
@@ -80,7 +80,7 @@
 			{At: 12060, For: 3860, Kind: storeDown, One: 9, Other: 11},
 			{At: 15650, For: 5000, Kind: killServing, One: 4, Other: 6},
 		}},
-		{"a standby instance takes instances for standby that others report as serving", 35, 100, 4, 6, nil},
+		{"a standby instance lists instances as standby that others report as serving", 35, 100, 4, 6, nil},
 		{"an instance that was suspended asks a peer that is suspended as well", 7, 8, 2, 6, []change{
 			{At: 13210, For: 1350, Kind: suspend},
 			{At: 14340, For: 1350, Kind: suspend, One: 3},
--- a/internal/fleet/virtual_change_test.go
+++ b/internal/fleet/virtual_change_test.go
@@ -85,8 +85,8 @@
 	maxChangeLength   = 5 * clock.Second
 )
 
-// denseEvery is the number of seeds of which one has so many changes that the fleet never settles.
-const denseEvery = 4
+// denseSeedInterval is the interval between two seeds whose schedules have so many changes that the fleet never settles.
+const denseSeedInterval = 4
 
 // newSchedule draws the changes of a run. Some of them are repeated, as when instances are restarted one after another.
 func newSchedule(options virtualOptions) []change {
@@ -94,7 +94,7 @@
 	span := options.length - initialSettleTime - finalSettleTime
 	var schedule []change
 	count := 2 + random.IntN(10)
-	if options.seed%denseEvery == 0 {
+	if options.seed%denseSeedInterval == 0 {
 		count *= 4
 	}
 	for range count {
@@ -210,10 +210,10 @@
 
 func (fleet *virtualFleet) changeStore(change change, now clock.Moment) {
 	store := fleet.store
-	held := store.listed()
+	servers := store.listed()
 	var server catalog.Server
-	if len(held) > 0 {
-		server = held[change.One%len(held)]
+	if len(servers) > 0 {
+		server = servers[change.One%len(servers)]
 	}
 	switch change.Kind {
 	case storeForgets:
@@ -224,13 +224,13 @@
 	case addServer:
 		store.addServer()
 	case takeOut:
-		store.setOut(fleet.dataCentre(change.One))
+		store.toggleEvacuated(fleet.dataCentre(change.One))
 	case drainServer:
 		if server.State == catalog.ServerReady {
 			store.change(server, catalog.ServerLeaving)
 		}
 	case removeServer:
-		if len(held) > 1 {
+		if len(servers) > 1 {
 			store.change(server, "")
 		}
 	case restartServer:
--- a/internal/fleet/virtual_checks_test.go
+++ b/internal/fleet/virtual_checks_test.go
@@ -13,9 +13,9 @@
 // Requirements of a fleet. An instance is in contact when it and the store were undisturbed for contactTime.
 const (
 	contactTime          = 3 * clock.Second
-	configureIn          = 2 * clock.Second
-	drainIn              = 2 * clock.Second
-	evacuateIn           = 5 * clock.Second
+	maxConfigureDelay    = 2 * clock.Second
+	maxDrainDelay        = 2 * clock.Second
+	maxEvacuateDelay     = 5 * clock.Second
 	maxSkew              = 5 * clock.Second
 	maxStoppedAdvertised = contactTime + 3*clock.Second
 	callerTTL            = addressTTL
@@ -38,8 +38,8 @@
 	// sent are the times within the last second at which a server was sent requests.
 	sent     map[settings.TargetName][]clock.Moment
 	overload string
-	// unservedSince is since when no instance serves in a data centre, misdirectedSince since when the answers of a machine
-	// contain no running instance.
+	// unservedSince is since when no instance serves in a data centre, misdirectedSince since when the address answers of a
+	// machine contain no running instance.
 	unservedSince    map[settings.DataCentreName]clock.Moment
 	misdirectedSince map[*machine]clock.Moment
 	// disturbed is when anything was last disturbed, faultedAt when links or processes were last disturbed other than by a
@@ -97,7 +97,7 @@
 }
 
 func (checks *checks) check(now clock.Moment) *violation {
-	checks.note(now)
+	checks.record(now)
 	for _, check := range checks.list {
 		if detail := check.evaluate(now); detail != "" {
 			return &violation{check: check.name, detail: detail, at: now.Add(-clock.Second)}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (checks *checks) note(now clock.Moment) {
+func (checks *checks) record(now clock.Moment) {
 	store := checks.fleet.store
 	if known := len(checks.versions); known == 0 || checks.versions[known-1].version < store.version {
 		checks.versions = append(checks.versions, acknowledged{version: store.version, at: now})
@@ -127,8 +127,8 @@
 func (checks *checks) running(now clock.Moment, visit func(*machine, *process) string) string {
 	for _, machine := range checks.fleet.machines {
 		if process := machine.process; process != nil && !process.frozen(now) {
-			if wrong := visit(machine, process); wrong != "" {
-				return fmt.Sprintf("%s (%s): %s", machine.identity.Name, process.controller.members.State(), wrong)
+			if detail := visit(machine, process); detail != "" {
+				return fmt.Sprintf("%s (%s): %s", machine.identity.Name, process.controller.members.State(), detail)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	if now.Since(store.degradedAt) < contactTime {
 		return ""
 	}
-	bound := configureIn
+	bound := maxConfigureDelay
 	if !store.stable(now) {
 		bound += maxSkew
 	}
@@ -208,7 +208,7 @@
 func (checks *checks) drainedInTime(now clock.Moment) string {
 	due := map[settings.TargetName]bool{}
 	for name, at := range checks.fleet.store.left {
-		if now.Since(at) > drainIn {
+		if now.Since(at) > maxDrainDelay {
 			due[name] = true
 		}
 	}
@@ -229,24 +229,24 @@
 }
 
 func (checks *checks) evacuatedInTime(now clock.Moment) string {
-	for name, at := range checks.fleet.store.out {
-		if now.Since(at) <= evacuateIn {
+	for name, at := range checks.fleet.store.evacuated {
+		if now.Since(at) <= maxEvacuateDelay {
 			continue
 		}
-		if wrong := checks.inContact(now, func(_ *machine, process *process) string {
+		if detail := checks.inContact(now, func(_ *machine, process *process) string {
 			if !process.controller.view.IsEvacuated(name) {
-				return fmt.Sprintf("still sends to %s, which is out since %s", name, now.Since(at))
+				return fmt.Sprintf("still sends to %s, which was evacuated %s ago", name, now.Since(at))
 			}
 			return ""
-		}); wrong != "" {
-			return wrong
+		}); detail != "" {
+			return detail
 		}
 	}
 	return ""
 }
 
-// noteSent counts the requests that all instances send to servers.
-func (checks *checks) noteSent(process *process, names []settings.TargetName, now clock.Moment) {
+// recordSent counts the requests that all instances send to servers.
+func (checks *checks) recordSent(process *process, names []settings.TargetName, now clock.Moment) {
 	for _, name := range names {
 		recent := slices.DeleteFunc(checks.sent[name], func(at clock.Moment) bool { return now.Since(at) >= clock.Second })
 		checks.sent[name] = append(recent, now)
@@ -259,13 +259,13 @@
 
 // wantedServing returns the number of running instances in each data centre, and how many of them should serve.
 func (checks *checks) wantedServing(now clock.Moment) (map[settings.DataCentreName]int, int) {
-	living := map[settings.DataCentreName]int{}
+	running := map[settings.DataCentreName]int{}
 	_ = checks.running(now, func(machine *machine, _ *process) string {
-		living[machine.identity.DataCentre]++
+		running[machine.identity.DataCentre]++
 		return ""
 	})
-	const servingLeast = 3
-	return living, (servingLeast + len(living) - 1) / max(len(living), 1)
+	const minServingTotal = 3
+	return running, (minServingTotal + len(running) - 1) / max(len(running), 1)
 }
 
 func (checks *checks) serving(now clock.Moment) map[settings.DataCentreName]int {
--- a/internal/fleet/virtual_explore_test.go
+++ b/internal/fleet/virtual_explore_test.go
@@ -14,32 +14,32 @@
 
 var exploreDepth = flag.Int("virtual.depth", 0, "number of changes in a row that are explored in every order, 0 for a short run")
 
-// Times of an exploration: changes begin exploreFrom after the start, one in each exploreEvery.
+// Times of an exploration: changes begin exploreStart after the start of the fleet, one in each exploreInterval.
 const (
-	exploreFrom  = 3 * clock.Second
-	exploreEvery = clock.Second
-	// noteEvery is the number of steps between two records of the fleet's state.
-	noteEvery = 5
+	exploreStart    = 3 * clock.Second
+	exploreInterval = clock.Second
+	// stepsPerRecord is the number of steps between two records of the fleet's state.
+	stepsPerRecord = 5
 )
 
-// alphabet returns the changes that may happen in one second.
-func alphabet(instances int) []change {
-	list := []change{{Kind: nothing}, {Kind: storeDown, For: exploreEvery}, {Kind: configure}, {Kind: removeServer}, {Kind: powerLoss, For: exploreEvery / 4}}
+// possibleChanges returns the changes that may happen in one second.
+func possibleChanges(instances int) []change {
+	list := []change{{Kind: nothing}, {Kind: storeDown, For: exploreInterval}, {Kind: configure}, {Kind: removeServer}, {Kind: powerLoss, For: exploreInterval / 4}}
 	for one := range instances {
 		list = append(list,
-			change{Kind: kill, One: one, For: exploreEvery / 4}, change{Kind: stop, One: one, For: exploreEvery}, change{Kind: leave, One: one, For: exploreEvery / 4},
-			change{Kind: cutOff, One: one, For: exploreEvery}, change{Kind: storeCut, One: one, For: exploreEvery}, change{Kind: late, One: one, For: exploreEvery},
+			change{Kind: kill, One: one, For: exploreInterval / 4}, change{Kind: stop, One: one, For: exploreInterval}, change{Kind: leave, One: one, For: exploreInterval / 4},
+			change{Kind: cutOff, One: one, For: exploreInterval}, change{Kind: storeCut, One: one, For: exploreInterval}, change{Kind: late, One: one, For: exploreInterval},
 		)
 		for other := range instances {
 			if other != one {
-				list = append(list, change{Kind: cutOneWay, One: one, Other: other, For: exploreEvery})
+				list = append(list, change{Kind: cutOneWay, One: one, Other: other, For: exploreInterval})
 			}
 		}
 	}
 	return list
 }
 
-// explored is what an exploration has seen. Two states are the same when each instance has the same role, view and owners, and
+// explored is the result of an exploration. Two states are the same when each instance has the same role, view and owners, and
 // advertises the same addresses.
 type explored struct {
 	depth     int
@@ -70,9 +70,9 @@
 			}
 			options := virtualOptions{
 				seed: 1, instances: scope.instances, dataCentres: scope.dataCentres, servers: scope.servers,
-				length: exploreFrom + clock.Milliseconds(scope.depth)*exploreEvery + settleTime + 2*clock.Second,
+				length: exploreStart + clock.Milliseconds(scope.depth)*exploreInterval + settleTime + 2*clock.Second,
 			}
-			changes := slices.DeleteFunc(alphabet(scope.instances), func(change change) bool {
+			changes := slices.DeleteFunc(possibleChanges(scope.instances), func(change change) bool {
 				return scope.kinds != nil && !slices.Contains(scope.kinds, change.Kind)
 			})
 			explored := &explored{depth: scope.depth, changes: changes, states: map[string]bool{}}
@@ -100,14 +100,14 @@
 		return
 	}
 	for index := range schedule {
-		schedule[index].At = clock.Moment(exploreFrom + clock.Milliseconds(index)*exploreEvery)
+		schedule[index].At = clock.Moment(exploreStart + clock.Milliseconds(index)*exploreInterval)
 	}
 	var found *violation
 	synctest.Test(t, func(*testing.T) {
 		fleet := newVirtualFleet(options, schedule)
 		fleet.checks.list = append(fleet.checks.list, namedCheck{"state", func(clock.Moment) string {
-			if fleet.steps%noteEvery == 0 {
-				explored.note(fleet.state())
+			if fleet.steps%stepsPerRecord == 0 {
+				explored.record(fleet.state())
 			}
 			return ""
 		}})
@@ -121,10 +121,10 @@
 	}
 }
 
-func (explored *explored) note(state string) {
+func (explored *explored) record(state string) {
 	explored.mutex.Lock()
 	defer explored.mutex.Unlock()
-	explored.steps += noteEvery
+	explored.steps += stepsPerRecord
 	explored.states[state] = true
 }
 
--- a/internal/fleet/virtual_fleet_test.go
+++ b/internal/fleet/virtual_fleet_test.go
@@ -171,7 +171,7 @@
 		return
 	}
 	if serves := process.controller.members.State(); serves == membership.Serving || serves == membership.Leaving || now >= process.nextProbe {
-		fleet.checks.noteSent(process, process.sendRequests(process.time(now)), now)
+		fleet.checks.recordSent(process, process.sendRequests(process.time(now)), now)
 	}
 	for _, packet := range machine.received {
 		if message, err := Decode(packet.text); err == nil {
@@ -179,7 +179,7 @@
 		}
 	}
 	machine.received = nil
-	process.takeEvents()
+	process.handleEvents()
 	process.tick(now)
 }
 
--- a/internal/fleet/virtual_process_test.go
+++ b/internal/fleet/virtual_process_test.go
@@ -42,13 +42,13 @@
 	nextProbe clock.Moment
 	// leftAt is when Leave was called, leavesAt when the process ends because of that.
 	leftAt, leavesAt clock.Moment
-	// version and revision are the newest that it has had in force.
+	// version and revision are the newest that the process has had in force.
 	version  catalog.Version
 	revision catalog.Revision
 }
 
-// callTime is the duration of half a call of a reader.
-const callTime = 2 * clock.Millisecond
+// halfCallTime is half the duration of a call of a reader.
+const halfCallTime = 2 * clock.Millisecond
 
 func newProcess(fleet *virtualFleet, machine *machine, first bool) *process {
 	process := &process{fleet: fleet, machine: machine, started: fleet.clock.Now(), leavesAt: never, done: make(chan struct{})}
@@ -63,7 +63,7 @@
 		SetJobs: func(jobs []sensing.Job) { process.jobs = jobs },
 	})
 	reader := catalog.NewReader(catalog.Options{
-		Source: fleet.store.source(process), FetchFromPeer: process.fromPeer, Publish: process.controller.SetView,
+		Source: fleet.store.source(process), FetchFromPeer: process.fetchFromPeer, Publish: process.controller.SetView,
 		Clock: own, Events: new(expvar.Map).Init(), Log: zerolog.Nop(), Jitter: rand.New(rand.NewPCG(random.Uint64(), 2)).Float64,
 	})
 	process.controller.SetCatalogReader(CatalogReader{
@@ -130,18 +130,18 @@
 	}
 }
 
-var errNoAnswer = errors.New("no answer from a peer")
+var errNoResponse = errors.New("no response from a peer")
 
-// fromPeer reads the catalog of a peer, as the gateway does over HTTP.
-func (process *process) fromPeer(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
-	if err := process.awaitCall(ctx, callTime); err != nil {
+// fetchFromPeer reads the catalog of a peer, as the gateway does over HTTP.
+func (process *process) fetchFromPeer(ctx context.Context, after catalog.Revision) (catalog.Update, error) {
+	if err := process.awaitCall(ctx, halfCallTime); err != nil {
 		return catalog.Update{}, err
 	}
-	return process.controller.FetchFromPeer(ctx, after, process.askPeer)
+	return process.controller.FetchFromPeer(ctx, after, process.requestUpdate)
 }
 
-func (process *process) askPeer(ctx context.Context, address netip.AddrPort, after catalog.Revision) (catalog.Update, error) {
-	if err := process.awaitCall(ctx, callTime); err != nil {
+func (process *process) requestUpdate(ctx context.Context, address netip.AddrPort, after catalog.Revision) (catalog.Update, error) {
+	if err := process.awaitCall(ctx, halfCallTime); err != nil {
 		return catalog.Update{}, err
 	}
 	peer, reached := process.reach(address)
@@ -150,10 +150,10 @@
 		return catalog.Update{}, ctx.Err()
 	}
 	if peer == nil {
-		return catalog.Update{}, errNoAnswer
+		return catalog.Update{}, errNoResponse
 	}
 	update, err := peer.controller.UpdateSince(ctx, after)
-	if awaitErr := process.awaitCall(ctx, callTime); awaitErr != nil {
+	if awaitErr := process.awaitCall(ctx, halfCallTime); awaitErr != nil {
 		return catalog.Update{}, awaitErr
 	}
 	return update, err
@@ -172,8 +172,8 @@
 	return machine.process, true
 }
 
-// takeEvents executes the events that wait for the control goroutine.
-func (process *process) takeEvents() {
+// handleEvents executes the queued events of the control goroutine.
+func (process *process) handleEvents() {
 	for {
 		select {
 		case arrived := <-process.controller.inbox:
--- a/internal/fleet/virtual_settled_test.go
+++ b/internal/fleet/virtual_settled_test.go
@@ -36,13 +36,13 @@
 			leaving.process.leftAt.Since(leaving.disturbed) < contactTime {
 			continue
 		}
-		if wrong := checks.inContact(now, func(machine *machine, process *process) string {
+		if detail := checks.inContact(now, func(machine *machine, process *process) string {
 			if book := process.controller.book.Load(); book != nil && slices.Contains(book.addresses, leaving.identity.Caller) {
 				return fmt.Sprintf("advertises %s, which has been leaving for %s", leaving.identity.Name, now.Since(leaving.process.leftAt))
 			}
 			return ""
-		}); wrong != "" {
-			return wrong
+		}); detail != "" {
+			return detail
 		}
 	}
 	return ""
@@ -51,17 +51,17 @@
 // eachDataCentreServes checks that an instance serves in each data centre with an instance that was undisturbed for
 // settleTime.
 func (checks *checks) eachDataCentreServes(now clock.Moment) string {
-	able := map[settings.DataCentreName]settings.InstanceName{}
+	eligible := map[settings.DataCentreName]settings.InstanceName{}
 	_ = checks.running(now, func(machine *machine, process *process) string {
 		if machine.undisturbed(now, settleTime) && process.leftAt == 0 && process.controller.Table() != nil {
-			able[machine.identity.DataCentre] = machine.identity.Name
+			eligible[machine.identity.DataCentre] = machine.identity.Name
 		}
 		return ""
 	})
 	serving := checks.serving(now)
 	for number := range checks.fleet.options.dataCentres {
 		name := checks.fleet.dataCentre(number)
-		if serving[name] > 0 || able[name] == "" {
+		if serving[name] > 0 || eligible[name] == "" {
 			delete(checks.unservedSince, name)
 			continue
 		}
@@ -71,7 +71,7 @@
 		gap := now.Since(checks.unservedSince[name])
 		checks.worstCase.unserved = max(checks.worstCase.unserved, gap)
 		if gap > settleTime {
-			return fmt.Sprintf("no instance has served in %s for %s, though %s could", name, gap, able[name])
+			return fmt.Sprintf("no instance has served in %s for %s, though %s could", name, gap, eligible[name])
 		}
 	}
 	return ""
@@ -125,9 +125,9 @@
 	if now.Since(checks.disturbed) < settleTime {
 		return ""
 	}
-	living, wanted := checks.wantedServing(now)
+	running, wanted := checks.wantedServing(now)
 	serving := checks.serving(now)
-	for name, count := range living {
+	for name, count := range running {
 		if expected := min(count, wanted); serving[name] != expected {
 			return fmt.Sprintf("%d instances serve in %s, not %d of %d", serving[name], name, expected, count)
 		}
--- a/internal/fleet/virtual_store_test.go
+++ b/internal/fleet/virtual_store_test.go
@@ -14,19 +14,19 @@
 
 // Times of the store.
 const (
-	slowAnswerDelay = 400 * clock.Millisecond
-	replicaLag      = 1500 * clock.Millisecond
+	slowResponseDelay = 400 * clock.Millisecond
+	replicaLag        = 1500 * clock.Millisecond
 	// serverLease is how long the entry of a server stays without being renewed.
 	serverLease = 3 * clock.Second
 )
 
-// virtualStore is the store of a platform. It keeps all states that it ever had, so that an answer may come from a replica
+// virtualStore is the store of a platform. It keeps all states that it ever had, so that a response may come from a replica
 // that lags. It is guarded by the mutex of the fleet.
 type virtualStore struct {
 	fleet   *virtualFleet
 	states  []storeState
 	changed chan struct{}
-	// refusingAt is when it last refused machines, degradedAt when it was last down, slow or lagging.
+	// refusingAt is when the store last refused the calls of machines, degradedAt when it was last down, slow or lagging.
 	refusingAt, degradedAt clock.Moment
 	version                catalog.Version
 	configuration          *catalog.Configuration
@@ -35,8 +35,8 @@
 	expired                []expiredServer
 	// left is when servers became leaving, or were removed for good, while the store was stable.
 	left map[settings.TargetName]clock.Moment
-	// out is when data centres were taken out.
-	out map[settings.DataCentreName]clock.Moment
+	// evacuated is when data centres were evacuated.
+	evacuated map[settings.DataCentreName]clock.Moment
 }
 
 // storeState is the content of the store from a certain time on.
@@ -46,11 +46,11 @@
 	items    map[catalog.Key]catalog.Item
 }
 
-var errStoreRefuses = errors.New("the store refuses")
+var errStoreRefuses = errors.New("the store refuses the call")
 
 func newVirtualStore(fleet *virtualFleet) *virtualStore {
 	store := &virtualStore{
-		fleet: fleet, changed: make(chan struct{}), left: map[settings.TargetName]clock.Moment{}, out: map[settings.DataCentreName]clock.Moment{},
+		fleet: fleet, changed: make(chan struct{}), left: map[settings.TargetName]clock.Moment{}, evacuated: map[settings.DataCentreName]clock.Moment{},
 		states: []storeState{{revision: 1, items: map[catalog.Key]catalog.Item{}}},
 	}
 	first := newColdView(fleet.options.servers, fleet.options.dataCentres)
@@ -121,14 +121,14 @@
 	store.write(catalog.ServerKey(server.Name), &catalog.Item{Server: &server})
 }
 
-// setOut takes a data centre out, or back in.
-func (store *virtualStore) setOut(name settings.DataCentreName) {
-	if _, out := store.out[name]; out {
-		delete(store.out, name)
+// toggleEvacuated evacuates a data centre, or ends its evacuation.
+func (store *virtualStore) toggleEvacuated(name settings.DataCentreName) {
+	if _, evacuated := store.evacuated[name]; evacuated {
+		delete(store.evacuated, name)
 		store.write(catalog.EvacuationKey(name), nil)
 		return
 	}
-	store.out[name] = store.fleet.clock.Now()
+	store.evacuated[name] = store.fleet.clock.Now()
 	store.write(catalog.EvacuationKey(name), &catalog.Item{Evacuated: name})
 }
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// read answers with the whole content of a state.
+// read returns the whole content of a state.
 func (store *virtualStore) read(ctx context.Context, process *process, choose func() *storeState) (catalog.Snapshot, error) {
 	if err := store.admit(ctx, process); err != nil {
 		return catalog.Snapshot{}, err
@@ -160,12 +160,12 @@
 	for _, key := range slices.Sorted(maps.Keys(state.items)) {
 		snapshot.Items = append(snapshot.Items, state.items[key])
 	}
-	return snapshot, process.awaitCall(ctx, callTime)
+	return snapshot, process.awaitCall(ctx, halfCallTime)
 }
 
 // admit accepts a call, refuses it, or lets it hang.
 func (store *virtualStore) admit(ctx context.Context, process *process) error {
-	if err := process.awaitCall(ctx, callTime); err != nil {
+	if err := process.awaitCall(ctx, halfCallTime); err != nil {
 		return err
 	}
 	store.fleet.mutex.Lock()
@@ -177,15 +177,15 @@
 		<-ctx.Done()
 		return errors.CombineErrors(process.awaitCall(ctx, 0), ctx.Err())
 	case link.storeRefuses:
-		return errors.CombineErrors(process.awaitCall(ctx, callTime), errStoreRefuses)
+		return errors.CombineErrors(process.awaitCall(ctx, halfCallTime), errStoreRefuses)
 	case slow:
-		return process.awaitCall(ctx, slowAnswerDelay)
+		return process.awaitCall(ctx, slowResponseDelay)
 	default:
 		return nil
 	}
 }
 
-// visible returns the state from which the store answers.
+// visible returns the state that calls to the store read.
 func (store *virtualStore) visible() *storeState {
 	if store.fleet.isActive(storeLags) {
 		return store.lagged()
@@ -215,9 +215,9 @@
 		remaining := end.Since(store.fleet.clock.Now())
 		switch {
 		case !known:
-			return changes, errors.CombineErrors(process.awaitCall(ctx, callTime), catalog.ErrCompacted)
+			return changes, errors.CombineErrors(process.awaitCall(ctx, halfCallTime), catalog.ErrCompacted)
 		case len(changes.Set)+len(changes.Removed) > 0 || remaining <= 0:
-			return changes, process.awaitCall(ctx, callTime)
+			return changes, process.awaitCall(ctx, halfCallTime)
 		}
 		waiting, cancel := context.WithTimeout(ctx, remaining.Duration())
 		select {
@@ -246,12 +246,12 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(state.items)) {
 		item := state.items[key]
-		if was, held := before.items[key]; !held || !sameItem(was, item) {
+		if earlier, existed := before.items[key]; !existed || !sameItem(earlier, item) {
 			changes.Set = append(changes.Set, item)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(before.items)) {
-		if _, held := state.items[key]; !held {
+		if _, exists := state.items[key]; !exists {
 			changes.Removed = append(changes.Removed, key)
 		}
 	}
