--- a/internal/catalog/catchup_test.go
+++ b/internal/catalog/catchup_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Guards against an instance on a slow link whose reads never complete, because each is cancelled when a peer has a newer revision.
-func TestReadingGoesOnWhilePeersKnowMore(t *testing.T) {
+// Guards against an instance on a slow link whose reads never complete because each is cancelled when a peer has a newer revision.
+func TestReadCompletesWhilePeersHaveNewerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		published := make(chan View, 64)
 		reader := NewReader(Options{
--- a/internal/catalog/reader_test.go
+++ b/internal/catalog/reader_test.go
@@ -16,7 +16,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// source is a fake store in a synctest bubble.
+// source is a fake store for tests in a synctest bubble.
 type source struct {
 	mutex    sync.Mutex
 	revision Revision
@@ -236,9 +236,9 @@
 	})
 }
 
-// Guards against a removal that is missed because the store compacts its history and ends the watch at the same time. Waiting for
-// the next change, the reader would list the removed server as long as nothing else changes.
-func TestLostHistoryIsReadAnew(t *testing.T) {
+// Guards against a removal that is missed because the store compacts its history and ends the watch at the same time. If it only waited
+// for the next change, the reader would list the removed server as long as nothing else changes.
+func TestEverythingIsReadAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
 		fixture.reader.SetRole(RoleLeader)
@@ -294,9 +294,9 @@
 	})
 }
 
-// Guards against an instance that the store refuses, while it answers others, and that does not adopt the view of a peer, or adopts
-// an older view than its own.
-func TestPeerHelpsOut(t *testing.T) {
+// Guards against an instance whose calls the store refuses while it accepts those of others, and that does not adopt the view of
+// a peer, or adopts an older view than its own.
+func TestNewerViewOfPeerIsAdopted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
 		fixture.reader.SetRole(RoleLeader)
@@ -319,7 +319,7 @@
 
 // Guards against a refused reader that learns too late of a new configuration, which must be in force within two seconds. The store
 // refuses all serving instances, and only a standby instance has read the configuration.
-func TestRefusedReaderTakesOverWhatPeersKnow(t *testing.T) {
+func TestRefusedReaderAdoptsNewerViewAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
 		fixture.reader.SetRole(RoleLeader)
@@ -352,7 +352,7 @@
 	})
 }
 
-// Guards against a connection to the store that stops answering for good while new ones work: changes must still be known
+// Guards against a connection to the store that stops responding for good while new ones work: changes must still be applied
 // within 3 s.
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -362,14 +362,14 @@
 		fixture.source.setFaults(true, false)
 		advance(clock.Second)
 		fixture.source.remove(ServerKey("one"))
-		// The watch in progress hangs; later ones are answered.
+		// The watch in progress hangs; later ones get responses.
 		fixture.source.setFaults(false, false)
 		advance(2900)
 		require.Equal(t, []string{"two"}, fixture.names())
 	})
 }
 
-// Guards against too many calls to a store that answers no instance. Serving instances check often for its return; a hundred standby
+// Guards against too many calls to a store that responds to no instance. Serving instances check often for its return; a hundred standby
 // instances at that rate would make thousands of calls. They pause longer, but must read the store within 3 s of its return, and at
 // once when they begin to serve.
 func TestFallbackReadersCallRarelyDuringAnOutage(t *testing.T) {
@@ -413,14 +413,14 @@
 	})
 }
 
-// Guards against a restarted instance that has no view until those that read the store have answered it.
+// Guards against a restarted instance that has no view until an instance that reads the store has sent it one.
 func TestStaleViewServesUntilPeersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
 		fixture.reader.ReadStale()
 		advance(100)
 		require.Equal(t, []string{"one", "two"}, fixture.names())
-		require.Zero(t, fixture.reader.LastResponse(), "a stale read does not show that the source answers")
+		require.Zero(t, fixture.reader.LastResponse(), "a stale read does not show that the source responds")
 		fixture.mutex.Lock()
 		fixture.peer = &View{Revision: fixture.view.Revision + 2, Configuration: &Configuration{Version: 9}, Servers: []Server{{Name: "three"}}}
 		fixture.mutex.Unlock()
--- a/internal/catalog/retention_test.go
+++ b/internal/catalog/retention_test.go
@@ -10,8 +10,8 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// Guards against a reader that was cut off and detects only after two seconds, or with the first change, that the store answers
-// again. The retention of removed entries would start only then, and a removed server would get requests for long.
+// Guards against a reader that was cut off and detects only after two seconds, or with the first change, that the store responds
+// again. The retention of removed entries would start only then, and a removed server would get requests for too long.
 func TestReturnIsNoticedAtOnce(t *testing.T) {
 	for later := range 10 {
 		synctest.Test(t, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a reader that alone was cut off, and retains a server that its peers have seen removed meanwhile, as if the entry
-// had lapsed in an outage for all.
+// Guards against a reader that was the only one cut off, and retains a server that its peers have meanwhile seen removed, as if the
+// entry had lapsed in an outage of the store.
 func TestReturnedReaderAdoptsViewOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
@@ -51,7 +51,7 @@
 
 // Guards against a server that is retained for too long by a fallback reader that has become a follower again: it must still be
 // dropped in time.
-func TestRetainedServerIsDroppedByOneThatFollowsAgain(t *testing.T) {
+func TestRetainedServerIsDroppedAfterRoleChangesToFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
 		fixture.reader.SetRole(RoleFallback)
@@ -72,7 +72,7 @@
 	})
 }
 
-// Guards against followers that go on sending requests to a server that a peer retained and then dropped without a new revision.
+// Guards against followers that continue to send requests to a server that a peer retained and then dropped without a new revision.
 func TestRetainedServerIsDroppedByFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newFixture(t)
@@ -99,11 +99,11 @@
 		require.Equal(t, []string{"one"}, fixture.names())
 		before := requests
 		advance(clock.Minute)
-		require.Equal(t, before, requests, "a peer that retains nothing is not asked again")
+		require.Equal(t, before, requests, "no further request to a peer that retains nothing")
 	})
 }
 
-// Guards against an instance without routes after a suspension of its machine: if the first peer that it asks does not answer and it
+// Guards against an instance without routes after a suspension of its machine: if the first request to a peer fails and it
 // did not retry, it would refuse all requests until something changes in the store.
 func TestRefreshIsTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -126,8 +126,8 @@
 	})
 }
 
-// Guards against a removed server that is retained for longer than the time in which a reader must be current after its links work
-// again.
+// Guards against a removed server that is retained for longer than the time within which a reader must be current once its links
+// work again.
 func TestRetentionIsCountedFromTheLastFailedCall(t *testing.T) {
 	for later := range 12 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/catalog/update_test.go
+++ b/internal/catalog/update_test.go
@@ -41,8 +41,8 @@
 	return publisher
 }
 
-// Guards against standby instances whose view differs from that of the instance that reads the source. They read from a serving
-// instance at intervals, and get only the changes since the last time, whatever was added and removed in between.
+// Guards against standby instances whose view differs from that of the instance that reads the source. They read from a
+// serving instance at intervals, and get only the changes since the last read, whatever was added and removed in between.
 func TestUpdatesLeadToTheSameView(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -64,7 +64,7 @@
 }
 
 // Guards against an update that is applied to the wrong view. Two instances read the source, and one of them still retains a server
-// that lapsed during an outage. An instance that followed the one and asks the other must detect the difference and read everything.
+// that lapsed during an outage. An instance that adopted the view of one and then gets an update from the other must detect the difference and read everything.
 func TestUpdateThatDoesNotFit(t *testing.T) {
 	configuration := &Configuration{Version: 1}
 	kept := Server{Name: "kept", State: ServerReady}
--- a/internal/control/controller_test.go
+++ b/internal/control/controller_test.go
@@ -332,7 +332,7 @@
 
 // One instance leaves, and another is partitioned from all peers. The others must stop giving their addresses to callers
 // within seconds; the partitioned instance must not send all callers to itself.
-func TestPeersThatGo(t *testing.T) {
+func TestLeavingAndPartitionedPeers(t *testing.T) {
 	fleet := newFleet(t, 6)
 	fleet.site.Fleet.InstancesPerService = 6
 	fleet.site.Revision = 2
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -36,7 +36,7 @@
 	backend  *backendservertest.Server
 	running  chan struct{}
 	release  chan struct{}
-	// addressTTL is the setting AnswerKept that the next publish uses.
+	// addressTTL is the AddressTTL in the settings that the next call of publish stores.
 	addressTTL clock.Milliseconds
 }
 
--- a/internal/sensing/sensing_test.go
+++ b/internal/sensing/sensing_test.go
@@ -20,9 +20,9 @@
 var errNoServer = errors.New("no server at the address")
 
 // Guards against probes of targets that are not due. After a restart of the whole fleet, hundreds of instances each count as the
-// owner of all backend servers, and none may open a connection before a caller sends it a request. Once one does, its service must
-// be probed within a moment.
-func TestTargetsThatAreNotDueAreLeftAlone(t *testing.T) {
+// owner of all backend servers, and none may open a connection before a caller sends it a request. Once a caller does, the targets of
+// the requested service must be probed within a moment.
+func TestTargetsThatAreNotDueAreNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var probes atomic.Int64
 		var due atomic.Bool
