--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -20,9 +20,9 @@
 // startingAddressTTL is how long callers may keep an answer that was given before any instance serves.
 const startingAddressTTL = 400 * clock.Millisecond
 
-// advertised returns the serving instances that address answers contain. An instance whose data centre is out owns no server
-// that accepts requests, and may use only the permits that the owners of the other servers leave free: its callers would wait
-// and be refused while there are free permits for callers of the other instances. It is advertised only if there is no other
+// advertised returns the serving instances that address answers contain. An instance in an evacuated data centre owns no
+// server that accepts requests, and may use only the permits that the owners of the other servers leave free: its callers would
+// wait and be refused while there are free permits for callers of the other instances. It is advertised only if there is no other
 // instance.
 func (controller *Controller) advertised() []membership.Identity {
 	if controller.view == nil {
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -71,12 +71,12 @@
 	// interval between two stale reads of the store on behalf of such requests.
 	tableWaitTimeout  = 150 * clock.Millisecond
 	staleReadInterval = 500 * clock.Millisecond
-	// storeFailureFollowInterval is the minimum interval between two reads of a peer's view while the store refuses the calls
+	// storeFailurePeerReadInterval is the minimum interval between two reads of a peer's view while the store refuses the calls
 	// of this instance.
-	storeFailureFollowInterval = 200 * clock.Millisecond
-	// followInterval is the minimum interval between two reads of a peer's view for changes of backend servers only. A standby
+	storeFailurePeerReadInterval = 200 * clock.Millisecond
+	// peerReadInterval is the minimum interval between two reads of a peer's view for changes of backend servers only. A standby
 	// instance sends next to no requests, and changes come in bursts.
-	followInterval = clock.Second
+	peerReadInterval = clock.Second
 	// suspendThreshold is the time from which the machine counts as having been suspended: the difference between the times
 	// that have passed on BootClock and on Clock since the last tick.
 	suspendThreshold = 300 * clock.Millisecond
@@ -170,13 +170,13 @@
 	leaderlessSince clock.Moment
 	started         clock.Moment
 	// servingSince is when this instance last began to serve.
-	servingSince           clock.Moment
-	isSeed                 bool
-	nextStoreFailureFollow clock.Moment
-	services               map[settings.ServiceName]*serviceState
-	targets                map[TargetKey]targetRef
-	knownServers           map[settings.TargetName]catalog.Server
-	owners                 map[settings.TargetName]settings.InstanceName
+	servingSince             clock.Moment
+	isSeed                   bool
+	nextStoreFailurePeerRead clock.Moment
+	services                 map[settings.ServiceName]*serviceState
+	targets                  map[TargetKey]targetRef
+	knownServers             map[settings.TargetName]catalog.Server
+	owners                   map[settings.TargetName]settings.InstanceName
 	// serving are the instances for which owners and addresses were last computed.
 	serving          []membership.Identity
 	nextReadingShare clock.Moment
--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -16,7 +16,7 @@
 )
 
 // Guards against a hundred instances that start within a moment and all read the store: its calls are limited and charged, and
-// it would refuse some just when all instances need it. The seeds read it; the others receive the view from them, and read the
+// it would refuse some calls just when all instances need it. The seeds read it; the others receive the view from them, and read the
 // store only when no view arrives. After a restart callers are waiting, and each instance reads a stale view at once.
 func TestOnlySeedsReadAtOnce(t *testing.T) {
 	cases := []struct {
@@ -25,11 +25,11 @@
 		// informed is whether the heartbeat of a seed that has read the store arrives, after the elapsed time.
 		informed bool
 		// state is the state of the seed.
-		state      membership.State
-		elapsed    clock.Milliseconds
-		restarted  bool
-		readsStore bool
-		followed   catalog.Revision
+		state        membership.State
+		elapsed      clock.Milliseconds
+		restarted    bool
+		readsStore   bool
+		peerRevision catalog.Revision
 	}{
 		{"a seed", 1, false, 0, 0, false, true, 0},
 		{"another", 9, false, 0, firstStartReadDelay / 20, false, false, 0},
@@ -49,7 +49,7 @@
 			}
 			fixture.controller.tick()
 			require.Equal(t, testCase.readsStore, fixture.readsStore)
-			require.Equal(t, testCase.followed, fixture.peerRevision)
+			require.Equal(t, testCase.peerRevision, fixture.peerRevision)
 			require.Zero(t, fixture.staleReads, "no request has arrived")
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
@@ -151,7 +151,7 @@
 	permit.Release(service.Failed)
 }
 
-// Guards against callers that are sent to an instance whose data centre operators have taken out: it still serves, but other
+// Guards against callers that are sent to an instance in an evacuated data centre: it still serves, but other
 // instances own all servers, so it refuses callers while there are free permits. Address answers must omit it, contain it when
 // there is no other instance, and contain it again when the data centre is back.
 func TestAddressesOmitDataCentresThatAreOut(t *testing.T) {
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -164,7 +164,7 @@
 }
 
 // Guards against cold servers that crash under the load of several owners. Instances that cannot reach each other, were paused
-// or have just started disagree on which of them owns a server, and each that takes itself for the owner sends requests to it.
+// or have just started disagree on which of them owns a server, and each instance that considers itself the owner sends requests to it.
 // The sum over all instances must stay within what is allowed.
 func TestColdServerLoadIsBoundedOverAllOwners(t *testing.T) {
 	for seed := range uint64(40) {
--- a/internal/fleet/reader_role.go
+++ b/internal/fleet/reader_role.go
@@ -19,10 +19,10 @@
 	readsStore := role != catalog.RoleFollower
 	switch {
 	case readsStore:
-		controller.followPeerOnStoreFailure(now)
+		controller.readPeerOnStoreFailure(now)
 	case controller.view == nil:
 		controller.catalogReader.SetPeerRevision(controller.members.NewestConfiguredRevision())
-	case newest > controller.view.Revision && (now.Since(controller.viewAppliedAt) >= followInterval || controller.versionBehind()):
+	case newest > controller.view.Revision && (now.Since(controller.viewAppliedAt) >= peerReadInterval || controller.versionBehind()):
 		controller.catalogReader.SetPeerRevision(newest)
 	}
 }
@@ -72,13 +72,13 @@
 	return leaderlessTimeoutOthers
 }
 
-// followPeerOnStoreFailure reads a newer view of any other instance while the store refuses the calls of this instance.
-func (controller *Controller) followPeerOnStoreFailure(now clock.Moment) {
-	if controller.view == nil || !controller.catalogReader.Failing() || now < controller.nextStoreFailureFollow {
+// readPeerOnStoreFailure reads a newer view of any other instance while the store refuses the calls of this instance.
+func (controller *Controller) readPeerOnStoreFailure(now clock.Moment) {
+	if controller.view == nil || !controller.catalogReader.Failing() || now < controller.nextStoreFailurePeerRead {
 		return
 	}
 	if known := controller.members.NewestConfiguredRevision(); known > controller.view.Revision {
-		controller.nextStoreFailureFollow = now.Add(storeFailureFollowInterval)
+		controller.nextStoreFailurePeerRead = now.Add(storeFailurePeerReadInterval)
 		controller.catalogReader.SetPeerRevision(known)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -15,7 +15,7 @@
 	"github.com/jaywheel/jaywheel/pkg/settings"
 )
 
-// Status is the control state of an instance that operators read.
+// Status is the control state of an instance for operators.
 type Status struct {
 	Instance   settings.InstanceName   `json:"instance"`
 	DataCentre settings.DataCentreName `json:"dataCentre"`
@@ -66,7 +66,7 @@
 	}
 }
 
-// Status returns the control state that operators read. The error is that of the context.
+// Status returns the control state for operators. The error is that of the context.
 func (controller *Controller) Status(ctx context.Context) (Status, error) {
 	return query(ctx, controller, (*Controller).status)
 }
--- a/internal/fleet/virtual_checks_test.go
+++ b/internal/fleet/virtual_checks_test.go
@@ -181,7 +181,7 @@
 	return 0
 }
 
-// configuredInTime also holds, with a later bound, while the store only refuses some machines.
+// configuredInTime checks how late configurations are applied, with a later bound while the store refuses the calls of some machines.
 func (checks *checks) configuredInTime(now clock.Moment) string {
 	store := checks.fleet.store
 	if now.Since(store.degradedAt) < contactTime {
--- a/internal/fleet/virtual_drain_test.go
+++ b/internal/fleet/virtual_drain_test.go
@@ -22,7 +22,7 @@
 	}))
 }
 
-// Guards against a reader that was cut off alone and still holds a removed server when it is in contact again.
+// Guards against a reader that was the only one cut off and still has a removed server in its view when it is in contact again.
 func TestDrainedInTimeAfterACut(t *testing.T) {
 	require.Nil(t, runFiveInstances(t, 1043, []change{
 		{At: 11960, For: 1520, Kind: powerLoss},
--- a/internal/fleet/virtual_network_test.go
+++ b/internal/fleet/virtual_network_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// storeRefusesMachine reports whether a store that refuses some machines refuses the given one.
+// storeRefusesMachine reports whether a store that refuses the calls of some machines refuses those of the given one.
 func storeRefusesMachine(change change, number int) bool {
 	return (number+change.One)%3 != change.Other%3
 }
