--- a/internal/catalog/encoding.go
+++ b/internal/catalog/encoding.go
@@ -18,8 +18,8 @@
 	formDeflate byte = 'd'
 )
 
-// compressionThreshold is the length in bytes from which an update is compressed: for an update of a few backend servers, compression is not
-// worth the memory that it takes.
+// compressionThreshold is the length in bytes from which an update is compressed: for an update of a few backend servers,
+// compression is not worth the memory that it takes.
 const compressionThreshold = 4 << 10
 
 // maxUpdateSize bounds the length in bytes of an update after decompression.
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -9,7 +9,7 @@
 	"github.com/jaywheel/jaywheel/pkg/clock"
 )
 
-// followOnce reads a peer's view when it is newer, and otherwise waits until the reader is woken or a retained server is to be dropped.
+// followOnce reads a peer's view when it is newer. Otherwise it waits until the reader is woken or a retained server has to be dropped.
 func (reader *Reader) followOnce(ctx context.Context) {
 	reader.complete = false
 	if reader.dropLapsed() {
@@ -69,7 +69,8 @@
 	reader.publishOrLog(ctx)
 }
 
-// fetchFromPeers requests the view of a peer, and of a second peer at once when the first request fails, as that peer may just have ended.
+// fetchFromPeers requests the view of a peer, and that of a second peer at once when the first request fails, since the first peer
+// may just have ended.
 func (reader *Reader) fetchFromPeers(ctx context.Context, full bool) (View, error) {
 	ctx, cancel := reader.cancellableContext(ctx, readTimeout)
 	defer cancel()
--- a/internal/catalog/role.go
+++ b/internal/catalog/role.go
@@ -55,8 +55,8 @@
 	reader.signal()
 }
 
-// CatchUp reports that a peer has had the given newer revision for some time. A watch in progress is cancelled, the view of a peer is read,
-// and everything is read again. A read in progress is not cancelled: on a slow link it would never complete.
+// CatchUp reports that a peer has had the given newer revision for some time. A watch in progress is cancelled, the view of a peer
+// is read, and everything is read again. A read in progress is not cancelled: on a slow link it would never complete.
 func (reader *Reader) CatchUp(newest Revision) {
 	reader.mutex.Lock()
 	reader.peerRevision = newest
--- a/internal/catalog/update_test.go
+++ b/internal/catalog/update_test.go
@@ -64,7 +64,8 @@
 }
 
 // Guards against an update that is applied to the wrong view. Two instances read the source, and one of them still retains a server
-// that lapsed during an outage. An instance that adopted the view of one and then gets an update from the other must detect the difference and read everything.
+// that lapsed during an outage. An instance that adopted the view of one and then gets an update from
+// the other must detect the difference and read everything.
 func TestUpdateThatDoesNotFit(t *testing.T) {
 	configuration := &Configuration{Version: 1}
 	kept := Server{Name: "kept", State: ServerReady}
