--- a/internal/fleet/controller_test.go
+++ b/internal/fleet/controller_test.go
@@ -16,7 +16,7 @@
 )
 
 // Guards against a hundred instances that start within a moment and all read the store: its calls are limited and charged, and
-// it would refuse some just when all instances need it. The seeds read it; the others receive the view from them, and read the
+// it would refuse some calls just when all instances need it. The seeds read it; the others receive the view from them, and read the
 // store only when no view arrives. After a restart callers are waiting, and each instance reads a stale view at once.
 func TestOnlySeedsReadAtOnce(t *testing.T) {
 	cases := []struct {
@@ -25,11 +25,11 @@
 		// informed is whether the heartbeat of a seed that has read the store arrives, after the elapsed time.
 		informed bool
 		// state is the state of the seed.
-		state      membership.State
-		elapsed    clock.Milliseconds
-		restarted  bool
-		readsStore bool
-		followed   catalog.Revision
+		state        membership.State
+		elapsed      clock.Milliseconds
+		restarted    bool
+		readsStore   bool
+		peerRevision catalog.Revision
 	}{
 		{"a seed", 1, false, 0, 0, false, true, 0},
 		{"another", 9, false, 0, firstStartReadDelay / 20, false, false, 0},
@@ -49,7 +49,7 @@
 			}
 			fixture.controller.tick()
 			require.Equal(t, testCase.readsStore, fixture.readsStore)
-			require.Equal(t, testCase.followed, fixture.followed)
+			require.Equal(t, testCase.peerRevision, fixture.peerRevision)
 			require.Zero(t, fixture.staleReads, "no request has arrived")
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
@@ -75,8 +75,8 @@
 	require.NotContains(t, fixture.controller.owners, identity(2).Name)
 }
 
-// Guards against needless traffic between data centres, which is charged. An instance that follows asks a peer of its own data
-// centre while that has a newer view, unless another peer has a newer configuration, which must be in force in time.
+// Guards against needless traffic between data centres, which is charged. A follower reads from a peer of its own data centre
+// while that peer has a newer view, unless another peer has a newer configuration, which must be in force in time.
 func TestFreshestPeerIsInOwnDataCentre(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -117,7 +117,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newStandbyFixture(t, 12, 30)
 			require.NotNil(t, fixture.controller.Table())
-			fixture.awake.Advance(testCase.suspended)
+			fixture.bootClock.Advance(testCase.suspended)
 			fixture.controller.tick()
 			require.Equal(t, testCase.dropsTable, fixture.controller.Table() == nil)
 			require.Equal(t, testCase.dropsTable, fixture.refreshed)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against a server that restarts under its name and address while a request is in flight there, and is still taken for
-// warm: it is cold and does not know that request, and its full load would crash it.
+// Guards against a server that restarts under its name and address while a request is in flight there, and still counts as
+// warm: the new process is cold and knows nothing of that request, and full load would crash it.
 func TestRestartedServerIsCold(t *testing.T) {
 	fixture := newFixture(1, 1)
 	before := newView(3, 1)
@@ -151,9 +151,9 @@
 	permit.Release(service.Failed)
 }
 
-// Guards against callers that are sent to an instance whose data centre operators have taken out: it still serves, but other
-// instances own all servers, so it refuses callers while there are free permits. Answers must omit it, contain it when there
-// is no other instance, and contain it again when the data centre is back.
+// Guards against callers that are sent to an instance in an evacuated data centre: it still serves, but other
+// instances own all servers, so it refuses callers while there are free permits. Address answers must omit it, contain it when
+// there is no other instance, and contain it again when the data centre is back.
 func TestAddressesOmitDataCentresThatAreOut(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -180,8 +180,8 @@
 	}
 }
 
-// Guards against a standby instance that waits for serving instances which all died at once or are cut off. It has to comply
-// with the updates that it would have received from them, so it must read the store itself long before they count as lost.
+// Guards against a standby instance that waits for serving instances which all died at once or are cut off. It must apply
+// the updates that it would have received from them, so it must read the store itself long before they count as lost.
 func TestSilentLeadersAreNotWaitedFor(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -208,8 +208,8 @@
 	}
 }
 
-// Guards against an instance that knows of a newer view, receives it from no peer, and waits until the serving instances count
-// as silent.
+// Guards against an instance that knows of a newer view, receives it from no peer, and reads the store only when the serving
+// instances count as silent.
 func TestUndeliveredViewIsReadFromStore(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -233,7 +233,7 @@
 	}
 }
 
-// Guards against an instance that asks a lost peer again and again while another peer would answer.
+// Guards against an instance that sends its requests for updates to a lost peer again and again while another peer would respond.
 func TestPeerThatDoesNotAnswerIsAvoided(t *testing.T) {
 	fixture := newStandbyFixture(t, 12, 30)
 	fixture.receiveHeartbeat(3, membership.Serving, 2)
--- a/internal/fleet/ownership_test.go
+++ b/internal/fleet/ownership_test.go
@@ -82,8 +82,8 @@
 		SetJobs: func(jobs []sensing.Job) { node.jobs = jobs },
 	})
 	node.controller.SetCatalogReader(CatalogReader{
-		SetRole: func(catalog.Role) {}, Follow: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
-		LastContact: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
+		SetRole: func(catalog.Role) {}, SetPeerRevision: func(catalog.Revision) {}, Refresh: func() {}, CatchUp: func(catalog.Revision) {}, ReadStale: func() {},
+		LastResponse: fleet.clock.Now, Failing: func() bool { return false }, PeerFailing: func() bool { return false },
 	})
 	node.controller.applyView(newColdView(ownedTargets, fixtureDataCentres))
 }
@@ -164,7 +164,7 @@
 }
 
 // Guards against cold servers that crash under the load of several owners. Instances that cannot reach each other, were paused
-// or have just started disagree on which of them owns a server, and each that takes itself for the owner sends requests to it.
+// or have just started disagree on which of them owns a server, and each instance that considers itself the owner sends requests to it.
 // The sum over all instances must stay within what is allowed.
 func TestColdServerLoadIsBoundedOverAllOwners(t *testing.T) {
 	for seed := range uint64(40) {
@@ -188,7 +188,7 @@
 		total += len(moments)
 		for _, from := range moments {
 			limit := ownedColdRate*ownedColdFactor + ownedColdSlack
-			require.LessOrEqual(t, float64(within(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
+			require.LessOrEqual(t, float64(countWithin(moments, from, clock.Second)), limit, "%s, from %s: %v", name, clock.Milliseconds(from), faults)
 		}
 	}
 	require.Greater(t, total, ownedTargets*30, "cold servers receive next to no requests")
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -25,8 +25,8 @@
 	ConnectTimeout: 250 * clock.Millisecond,
 	// Servers close unused connections after 10 s.
 	IdleTimeout: 6 * clock.Second,
-	// A request that must not run twice is sent only where activity was seen this recently; probes cause activity all the
-	// time.
+	// A request that must not run twice is sent only on a connection that received data this recently; probes cause activity
+	// all the time.
 	FreshFor: 500 * clock.Millisecond,
 	// The kernel closes a connection whose bytes stay unacknowledged for this long.
 	AckTimeout: clock.Second,
@@ -59,8 +59,8 @@
 	controller.publish()
 }
 
-// publishIfServingChanged publishes again unless a change of membership concerns only standby instances. A hundred of those
-// arrive within a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
+// publishIfServingChanged publishes again unless a change of membership concerns only standby instances. A hundred such
+// changes arrive within a moment when a fleet starts, and each would cost 0.35 ms here (BenchmarkPublish).
 func (controller *Controller) publishIfServingChanged() {
 	serving := controller.members.Serving()
 	if len(serving) > 0 && slices.Equal(serving, controller.serving) {
@@ -87,7 +87,7 @@
 	controller.setTable(controller.newTable())
 }
 
-// setServices keeps a state for every service that the routes or the configured limits name.
+// setServices creates or updates the state of every service that the routes or the configured limits name.
 func (controller *Controller) setServices() {
 	configuration := controller.view.Configuration
 	for index := range configuration.Routes {
@@ -211,20 +211,21 @@
 func (controller *Controller) probeJob(server *catalog.Server, state *serviceState, usable bool) sensing.Job {
 	scheduler := state.scheduler
 	name := server.Name
-	// The platform limits probes over the whole fleet; while views differ, two instances may probe the same target.
-	fastest := 2 * clock.Second / clock.Milliseconds(controller.options.Bounds.ProbesPerSecond)
-	settled := controller.servingSince.Add(unrequestedProbeDelay)
+	// The platform limits the probes of the whole fleet. The factor of 2 is for two instances that probe the same target while
+	// their views differ.
+	minPause := 2 * clock.Second / clock.Milliseconds(controller.options.Bounds.ProbesPerSecond)
+	probeAllFrom := controller.servingSince.Add(unrequestedProbeDelay)
 	return sensing.Job{
 		Service: server.Service, Target: server.Name, Address: server.Address, Path: state.limits.ProbePath,
 		Due: func() bool {
-			return controller.options.Clock.Now() >= settled || scheduler.Busy(serviceBusyWindow)
+			return controller.options.Clock.Now() >= probeAllFrom || scheduler.Busy(serviceBusyWindow)
 		},
 		Pause: func() clock.Milliseconds {
 			switch {
 			case !usable:
 				return unusedProbePause
 			case scheduler.Busy(serviceBusyWindow):
-				return scheduler.NextProbe(name, learningProbePause, max(busyProbePause, fastest))
+				return scheduler.NextProbe(name, learningProbePause, max(busyProbePause, minPause))
 			default:
 				return max(scheduler.NextProbe(name, learningProbePause, idleProbePause), learningProbePause)
 			}
